--- a/packages/router/Configuration.cpp
+++ b/packages/router/Configuration.cpp
@@ -302,7 +302,7 @@
     return found == rest_->classes.end() ? ClassRecord() : found->second;
 }
 
-auto Configuration::someMemberOf(std::string_view model) const -> MemberId
+auto Configuration::anyAllowedMember(std::string_view model) const -> MemberId
 {
     const auto* known = adapters_.find(model.substr(0, model.find('@')));
     if (!known)
@@ -332,7 +332,7 @@
     return ResolvedModel { name, *version, record.base, ModelName(std::move(qualified)), record.requestClass };
 }
 
-auto asRun(ResolvedModel model, const ModelName& name) -> ResolvedModel
+auto withModelName(ResolvedModel model, const ModelName& name) -> ResolvedModel
 {
     const auto text = name.view();
     const auto at = text.find('@');
--- a/packages/router/Configuration.h
+++ b/packages/router/Configuration.h
@@ -56,7 +56,7 @@
 };
 
 /// The model of a call that turns out to run, or to have run, as `name`, whatever version is in force now.
-[[nodiscard]] auto asRun(ResolvedModel model, const ModelName& name) -> ResolvedModel;
+[[nodiscard]] auto withModelName(ResolvedModel model, const ModelName& name) -> ResolvedModel;
 
 /// One accepted configuration. It never changes; the next version shares with it whatever the patch left alone.
 ///
@@ -89,7 +89,7 @@
     /// One adapter as JSON text; null when there is none of this name.
     [[nodiscard]] auto adapterText(const std::string& name) const -> const std::string* { return adapters_.find(name); }
     /// A member that may call the model; empty when nobody may.
-    [[nodiscard]] auto someMemberOf(std::string_view model) const -> MemberId;
+    [[nodiscard]] auto anyAllowedMember(std::string_view model) const -> MemberId;
     [[nodiscard]] auto requestClass(const RequestClass& name) const -> ClassRecord;
     [[nodiscard]] auto adapterCount() const noexcept -> std::size_t { return adapters_.size(); }
 
--- a/packages/router/EntryRole.cpp
+++ b/packages/router/EntryRole.cpp
@@ -35,9 +35,9 @@
 
 auto EntryRole::start() -> void
 {
-    targets_.exclude([this]() -> const std::set<TargetId>& { return config_.current()->drained(); });
+    targets_.excludeDrained([this]() -> const std::set<TargetId>& { return config_.current()->drained(); });
     config_.start();
-    targets_.onState([this](auto state) { quarantine_.learn(state); });
+    targets_.onState([this](auto state) { quarantine_.update(state); });
     targets_.start();
     ledger_.start();
     quarantine_.start();
--- a/packages/router/controllers/LedgerController.cpp
+++ b/packages/router/controllers/LedgerController.cpp
@@ -63,7 +63,7 @@
         { "message", error.message() }, { "peer", error.peer() }, { "run", toString(error.run()) } };
 }
 
-auto toJson(const KeptAnswer& answer) -> Json
+auto toJson(const StoredAnswer& answer) -> Json
 {
     auto json = Json { { "status", answer.status }, { "content_type", answer.contentType }, { "tokens", answer.tokens },
         { "finish_reason", answer.finishReason } };
@@ -81,9 +81,9 @@
         .run(run == "partial" ? RunState::Partial : RunState::Unknown);
 }
 
-auto answerFrom(const Json& json) -> KeptAnswer
+auto answerFrom(const Json& json) -> StoredAnswer
 {
-    auto answer = KeptAnswer {
+    auto answer = StoredAnswer {
         .status = json.value("status", 200),
         .contentType = json.value("content_type", ""),
         .text = json.value("text", ""),
@@ -222,7 +222,7 @@
     return platform_.commit(std::move(transaction)).ignoreResult().catch_([](kj::Exception&&) {});
 }
 
-auto LedgerController::finish(std::string key, LedgerRow row, KeptAnswer answer) -> kj::Promise<bool>
+auto LedgerController::finish(std::string key, LedgerRow row, StoredAnswer answer) -> kj::Promise<bool>
 {
     auto value = toJson(row.claim);
     value["state"] = "finished";
@@ -258,7 +258,7 @@
             });
 }
 
-auto LedgerController::free(std::string key, LedgerRow row) -> kj::Promise<void>
+auto LedgerController::releaseClaim(std::string key, LedgerRow row) -> kj::Promise<void>
 {
     auto transaction = platform::Transaction();
     transaction.require = { { key, row.version } };
--- a/packages/router/controllers/LedgerController.h
+++ b/packages/router/controllers/LedgerController.h
@@ -24,7 +24,7 @@
 };
 
 /// An answer as the ledger keeps it, to be given again to a caller that sends its request again.
-struct KeptAnswer {
+struct StoredAnswer {
     int status = 200;
     std::string contentType;
     std::string text;
@@ -38,7 +38,7 @@
 struct LedgerRow {
     std::uint64_t version = 0;
     Claim claim;
-    std::optional<KeptAnswer> answer;
+    std::optional<StoredAnswer> answer;
 
     /// No attempt may run the request now.
     [[nodiscard]] auto unclaimed() const noexcept -> bool { return version == 0 || claim.attempt.empty(); }
@@ -67,10 +67,10 @@
     /// row back. Claims of one turn go out in one transaction.
     [[nodiscard]] auto claim(std::string key, Claim claim, std::uint64_t version) -> kj::Promise<LedgerRow>;
     /// Adds the answer to the claim; tries for a while when the platform is away. True when the ledger has it.
-    [[nodiscard]] auto finish(std::string key, LedgerRow row, KeptAnswer answer) -> kj::Promise<bool>;
+    [[nodiscard]] auto finish(std::string key, LedgerRow row, StoredAnswer answer) -> kj::Promise<bool>;
     /// Frees the claim of a request that did not run, so that its caller can send it again. The row stays: were it
     /// removed, its versions would begin anew, and a slow writer could take the next claim for the one that it knows.
-    [[nodiscard]] auto free(std::string key, LedgerRow row) -> kj::Promise<void>;
+    [[nodiscard]] auto releaseClaim(std::string key, LedgerRow row) -> kj::Promise<void>;
 
 private:
     struct Pending {
--- a/packages/router/controllers/LoadsController.cpp
+++ b/packages/router/controllers/LoadQueueController.cpp
@@ -1,8 +1,8 @@
-#include "router/controllers/LoadsController.h"
+#include "router/controllers/LoadQueueController.h"
 
 namespace eelgrass::router {
 
-auto LoadsController::turn(const decisions::LoadAsk& ask) -> kj::Promise<bool>
+auto LoadQueueController::requestTurn(const decisions::LoadAsk& ask) -> kj::Promise<bool>
 {
     auto pair = kj::newPromiseAndFulfiller<bool>();
     auto& waiting = waiting_[ask.target];
@@ -14,7 +14,7 @@
     return kj::mv(pair.promise);
 }
 
-auto LoadsController::done(const TargetId& target) -> void
+auto LoadQueueController::releaseTurn(const TargetId& target) -> void
 {
     queue_.withdraw(target);
     if (const auto left = waiting_.find(target); left != waiting_.end()) {
@@ -25,7 +25,7 @@
     grant();
 }
 
-auto LoadsController::grant() -> void
+auto LoadQueueController::grant() -> void
 {
     for (const auto& target : queue_.grants(now())) {
         const auto waiting = waiting_.find(target);
--- a/packages/router/controllers/LoadsController.h
+++ b/packages/router/controllers/LoadQueueController.h
@@ -9,16 +9,16 @@
 
 /// Holds the load queue for the target processes that ask this entry. It is advisory and kept in memory: a lost entry
 /// costs one expiry and nothing else.
-class LoadsController {
+class LoadQueueController {
 public:
-    explicit LoadsController(wire::MainLoop& loop)
+    explicit LoadQueueController(wire::MainLoop& loop)
         : loop_(loop)
     {
     }
 
     /// True when the target's turn has come; false when the target asked again meanwhile.
-    [[nodiscard]] auto turn(const decisions::LoadAsk& ask) -> kj::Promise<bool>;
-    auto done(const TargetId& target) -> void;
+    [[nodiscard]] auto requestTurn(const decisions::LoadAsk& ask) -> kj::Promise<bool>;
+    auto releaseTurn(const TargetId& target) -> void;
 
 private:
     auto grant() -> void;
--- a/packages/router/controllers/QuarantineController.cpp
+++ b/packages/router/controllers/QuarantineController.cpp
@@ -39,7 +39,7 @@
     });
 }
 
-auto QuarantineController::crashed(const std::string& digest, std::uint32_t before) -> bool
+auto QuarantineController::recordCrash(const std::string& digest, std::uint32_t before) -> bool
 {
     const auto crashes = quarantine_.crashed(digest, before);
     log::warn("engine lost under a request",
@@ -59,7 +59,7 @@
     }));
 }
 
-auto QuarantineController::learn(wire::schema::TargetState::Reader state) -> void
+auto QuarantineController::update(wire::schema::TargetState::Reader state) -> void
 {
     for (const auto suspect : state.getSuspects())
         quarantine_.learn(std::string(suspect.getDigest()), suspect.getCrashes());
--- a/packages/router/controllers/QuarantineController.h
+++ b/packages/router/controllers/QuarantineController.h
@@ -19,15 +19,15 @@
     /// Follows the platform's rows from here on.
     auto start() -> void;
     /// An engine died while it ran this request, started at a count of `before`. True when it is refused from here on.
-    auto crashed(const std::string& digest, std::uint32_t before) -> bool;
-    auto succeeded(const std::string& digest) -> void { quarantine_.succeeded(digest); }
+    auto recordCrash(const std::string& digest, std::uint32_t before) -> bool;
+    auto recordSuccess(const std::string& digest) -> void { quarantine_.succeeded(digest); }
     /// A suspect that is sent many times at once runs one at a time from this entry. False: not yet.
-    [[nodiscard]] auto tryBegin(const std::string& digest) -> bool { return running_.insert(digest).second; }
-    auto ended(const std::string& digest) -> void { running_.erase(digest); }
-    auto learn(wire::schema::TargetState::Reader state) -> void;
+    [[nodiscard]] auto tryStart(const std::string& digest) -> bool { return running_.insert(digest).second; }
+    auto finish(const std::string& digest) -> void { running_.erase(digest); }
+    auto update(wire::schema::TargetState::Reader state) -> void;
 
     [[nodiscard]] auto crashes(const std::string& digest) const -> std::uint32_t { return quarantine_.crashes(digest); }
-    [[nodiscard]] auto refused(const std::string& digest) const -> bool { return quarantine_.refused(digest); }
+    [[nodiscard]] auto isQuarantined(const std::string& digest) const -> bool { return quarantine_.refused(digest); }
 
 private:
     auto poll() -> kj::Promise<void>;
--- a/packages/router/controllers/TargetsController.cpp
+++ b/packages/router/controllers/TargetsController.cpp
@@ -129,7 +129,7 @@
     return found == epochs_.end() ? Epoch(0) : found->second;
 }
 
-auto TargetsController::unreachable(const TargetId& target) -> void
+auto TargetsController::markUnreachable(const TargetId& target) -> void
 {
     fleet_.setReachable(target, false);
     unreachable_[target] = loop_.timers().after(unreachableFor, [this, target] {
@@ -147,7 +147,7 @@
         return;
     // For a short while only: nobody would hear of the engine's return on a session that is closed meanwhile.
     if (!state.getEngineAlive())
-        unreachable(target);
+        markUnreachable(target);
     epochs_[target] = Epoch(state.getEpoch());
     auto report = decisions::TargetReport {
         .leaving = state.getLeaving(),
--- a/packages/router/controllers/TargetsController.h
+++ b/packages/router/controllers/TargetsController.h
@@ -25,7 +25,7 @@
     [[nodiscard]] auto views() const noexcept -> const std::vector<decisions::TargetView>& { return fleet_.views(); }
 
     /// Targets named by `drained` get no new work; asked at each placement.
-    auto exclude(std::function<const std::set<TargetId>&()> drained) -> void { drained_ = std::move(drained); }
+    auto excludeDrained(std::function<const std::set<TargetId>&()> drained) -> void { drained_ = std::move(drained); }
     /// Chooses a target and counts the request as sent to it.
     [[nodiscard]] auto place(const decisions::PlacementRequest& request) -> std::optional<TargetId>;
     /// Whether some target can take the request. Counts nothing.
@@ -39,7 +39,7 @@
     [[nodiscard]] auto link(const TargetId& target) -> std::shared_ptr<TargetLink>;
     [[nodiscard]] auto epoch(const TargetId& target) const -> Epoch;
     /// Keeps requests off a target that could not be reached, for a short while.
-    auto unreachable(const TargetId& target) -> void;
+    auto markUnreachable(const TargetId& target) -> void;
     auto report(wire::schema::TargetState::Reader state) -> void;
     /// Told of every state that a target reports.
     auto onState(TargetLink::OnState callback) -> void { onState_ = std::move(callback); }
@@ -55,7 +55,7 @@
     std::string name_;
     decisions::Fleet fleet_;
     decisions::Placer placer_;
-    LoadsController loads_;
+    LoadQueueController loads_;
     std::map<TargetId, platform::HostRecord> hosts_;
     std::map<TargetId, std::shared_ptr<TargetLink>> links_;
     std::map<TargetId, Epoch> epochs_;
--- a/packages/router/entry/OperatorApi.cpp
+++ b/packages/router/entry/OperatorApi.cpp
@@ -201,7 +201,7 @@
     const auto& configuration = *config_.current();
     auto member = MemberId(request.exchange->query("member"));
     if (member.empty())
-        member = configuration.someMemberOf(model);
+        member = configuration.anyAllowedMember(model);
     const auto& drained = configuration.drained();
     orElse(
         [&]() -> Result<void> {
--- a/packages/router/entry/Relay.cpp
+++ b/packages/router/entry/Relay.cpp
@@ -128,7 +128,7 @@
 {
     // Failure: between two sends of a request another version came in force, and the first answer was told under it.
     // The ledger says what ran, so the caller hears just that.
-    call_->model = asRun(std::move(call_->model), model);
+    call_->model = withModelName(std::move(call_->model), model);
     writer_.nameModel();
 }
 
@@ -163,13 +163,13 @@
 {
     if (done_)
         return kj::READY_NOW;
-    if (quarantine_.refused(digest_)) {
+    if (quarantine_.isQuarantined(digest_)) {
         giveUp(Error(Step::Admit, 422, "quarantined", "this request crashed two engines and is not run again"));
         return kj::READY_NOW;
     }
     // A suspect sent many times at once would take one engine down each: it runs one at a time.
     if (quarantine_.crashes(digest_) > 0 && !suspect_) {
-        suspect_ = quarantine_.tryBegin(digest_);
+        suspect_ = quarantine_.tryStart(digest_);
         if (!suspect_)
             return loop_.sleep(suspectPoll).then([self = shared_from_this()] { return self->tryNext(); });
     }
@@ -217,7 +217,7 @@
             // Nothing was sent: another target may take it.
             log::info("target not reached",
                 { { "step", "connect" }, { "peer", target.str() }, { "reason", failed.getDescription().cStr() } });
-            self->targets_.unreachable(target);
+            self->targets_.markUnreachable(target);
             self->mayReturn_ = true;
             return self->tryNext();
         });
@@ -495,12 +495,12 @@
     metrics_.observe("eelgrass_load_stall_seconds", member, call_->requestClass, end.loadStall);
     metrics_.observe("eelgrass_queue_wait_seconds", member, call_->requestClass, end.queueWait);
     if (!end.error) {
-        quarantine_.succeeded(digest_);
+        quarantine_.recordSuccess(digest_);
         return answered(end);
     }
     const auto target = *target_;
     const auto lost = end.error->type() == "engine_lost";
-    if (lost && quarantine_.crashed(digest_, crashes_)) {
+    if (lost && quarantine_.recordCrash(digest_, crashes_)) {
         auto error = Error(Step::Engine, 422, "quarantined", "this request crashed two engines");
         return answered({ .error = std::move(error).at(target.str()).run(end.error->run()) });
     }
@@ -566,7 +566,7 @@
 auto Relay::endSuspect() -> void
 {
     if (std::exchange(suspect_, false))
-        quarantine_.ended(digest_);
+        quarantine_.finish(digest_);
 }
 
 template <typename MakeRequest> auto Relay::tell(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void
--- a/packages/router/entry/RunRecord.cpp
+++ b/packages/router/entry/RunRecord.cpp
@@ -84,6 +84,6 @@
     return ledger_.finish(key_, row_, answer_);
 }
 
-auto RunRecord::free() -> kj::Promise<void> { return ledger_.free(key_, row_); }
+auto RunRecord::free() -> kj::Promise<void> { return ledger_.releaseClaim(key_, row_); }
 
 } // namespace eelgrass::router
--- a/packages/router/entry/RunRecord.h
+++ b/packages/router/entry/RunRecord.h
@@ -18,7 +18,7 @@
 /// The request is answered; its caller gets that answer again.
 struct Answered {
     ModelName model;
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 using Standing = std::variant<Unclaimed, Claimed, HeldBy, Answered, Error>;
 
@@ -50,7 +50,7 @@
     std::string digest_;
     ModelName model_;
     LedgerRow row_;
-    KeptAnswer answer_;
+    StoredAnswer answer_;
 };
 
 } // namespace eelgrass::router
--- a/packages/router/entry/TargetLink.cpp
+++ b/packages/router/entry/TargetLink.cpp
@@ -50,14 +50,14 @@
         KJ_REQUIRE(!alive_.expired() && link_.loads_, "there is no load queue here");
         auto params = context.getParams();
         const auto oldest = now() - Duration(std::chrono::milliseconds(params.getWaitedMs()));
-        return link_.loads_->turn({ TargetId(params.getTarget()), params.getWeight(), oldest })
+        return link_.loads_->requestTurn({ TargetId(params.getTarget()), params.getWeight(), oldest })
             .then([context](bool granted) mutable { context.getResults().setGranted(granted); });
     }
 
     auto loadDone(LoadDoneContext context) -> kj::Promise<void> override
     {
         KJ_REQUIRE(!alive_.expired() && link_.loads_, "there is no load queue here");
-        link_.loads_->done(TargetId(context.getParams().getTarget()));
+        link_.loads_->releaseTurn(TargetId(context.getParams().getTarget()));
         return kj::READY_NOW;
     }
 
@@ -67,7 +67,7 @@
 };
 
 TargetLink::TargetLink(wire::MainLoop& loop, platform::HostRecord host, std::string secret, std::string name,
-    OnState onState, LoadsController* loads)
+    OnState onState, LoadQueueController* loads)
     : loop_(loop)
     , host_(std::move(host))
     , secret_(std::move(secret))
--- a/packages/router/entry/TargetLink.h
+++ b/packages/router/entry/TargetLink.h
@@ -2,7 +2,7 @@
 
 #include "platform/PlatformClient.h"
 #include "router/WireTypes.h"
-#include "router/controllers/LoadsController.h"
+#include "router/controllers/LoadQueueController.h"
 #include "wire/Door.h"
 #include "wire/MainLoop.h"
 
@@ -18,7 +18,7 @@
     using OnState = std::function<void(wire::schema::TargetState::Reader)>;
 
     TargetLink(wire::MainLoop& loop, platform::HostRecord host, std::string secret, std::string name, OnState onState,
-        LoadsController* loads = nullptr);
+        LoadQueueController* loads = nullptr);
     ~TargetLink();
 
     /// The open session; opens one if there is none.
@@ -52,7 +52,7 @@
     std::string name_;
     OnState onState_;
     /// Null for a link that takes no part in the order of loads.
-    LoadsController* loads_;
+    LoadQueueController* loads_;
     std::unique_ptr<wire::Connection> connection_;
     std::optional<wire::schema::TargetSession::Client> session_;
     std::unique_ptr<kj::ForkedPromise<void>> connecting_;
