--- a/packages/serving/CallerConnection.cpp
+++ b/packages/serving/CallerConnection.cpp
@@ -143,7 +143,7 @@
     connection_.write(wire::responseHeadText(head));
 }
 
-auto CallerConnection::piece(std::string_view bytes) -> void
+auto CallerConnection::writeChunk(std::string_view bytes) -> void
 {
     if (closed_ || bytes.empty())
         return;
--- a/packages/serving/CallerConnection.h
+++ b/packages/serving/CallerConnection.h
@@ -63,7 +63,7 @@
     [[nodiscard]] auto requestBegan() const noexcept -> Moment { return requestBegan_; }
     auto respond(wire::HttpResponseHead head, std::string_view body) -> void;
     auto begin(wire::HttpResponseHead head) -> void;
-    auto piece(std::string_view bytes) -> void;
+    auto writeChunk(std::string_view bytes) -> void;
     auto finish() -> void;
     auto noteMisuse() -> void;
 
--- a/packages/serving/CallerExchange.cpp
+++ b/packages/serving/CallerExchange.cpp
@@ -51,10 +51,10 @@
     connection_->begin(std::move(head));
 }
 
-auto CallerExchange::piece(std::string_view bytes) -> void
+auto CallerExchange::writeChunk(std::string_view bytes) -> void
 {
     if (may("piece", true))
-        connection_->piece(bytes);
+        connection_->writeChunk(bytes);
 }
 
 auto CallerExchange::finish() -> void
--- a/packages/serving/CallerExchange.h
+++ b/packages/serving/CallerExchange.h
@@ -28,7 +28,7 @@
     auto respond(wire::HttpResponseHead head, std::string_view body) -> void;
     /// A streamed answer: head, pieces, and `finish` or `abort`.
     auto begin(wire::HttpResponseHead head) -> void;
-    auto piece(std::string_view bytes) -> void;
+    auto writeChunk(std::string_view bytes) -> void;
     auto finish() -> void;
     /// Breaks the answer off by closing the connection, so that the client sees that it is not whole.
     auto abort() -> void;
--- a/packages/serving/Forward.h
+++ b/packages/serving/Forward.h
@@ -14,6 +14,6 @@
 class ReplicaConnection;
 class ReplicaDirectory;
 class RequestRun;
-struct Gateway;
+struct GatewayContext;
 
 } // namespace eelgrass::serving
--- a/packages/serving/Gateway.h
+++ b/packages/serving/GatewayContext.h
@@ -14,7 +14,7 @@
 namespace eelgrass::serving {
 
 /// What the requests of one entry share.
-struct Gateway {
+struct GatewayContext {
     wire::MainLoop& loop;
     const GatewaySettings& settings;
     ConfigurationFollower& configuration;
--- a/packages/serving/GatewayRole.h
+++ b/packages/serving/GatewayRole.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "serving/Gateway.h"
+#include "serving/GatewayContext.h"
 #include "serving/ReaderLink.h"
 #include "serving/RequestRun.h"
 #include "serving/TextServer.h"
@@ -68,7 +68,7 @@
     ReplicaDirectory directory_;
     SuspectRequests suspects_;
     MemberQuotas quotas_;
-    Gateway gateway_;
+    GatewayContext gateway_;
     std::map<CallerConnection*, std::shared_ptr<CallerConnection>> connections_;
     std::unique_ptr<wire::TcpListener> clients_;
     std::unique_ptr<TextServer> readiness_;
--- a/packages/serving/ReplicaDirectory.cpp
+++ b/packages/serving/ReplicaDirectory.cpp
@@ -405,7 +405,7 @@
     }
 }
 
-auto ReplicaDirectory::of(const ServiceName& service) const -> const std::vector<ReplicaPtr>&
+auto ReplicaDirectory::replicasOf(const ServiceName& service) const -> const std::vector<ReplicaPtr>&
 {
     static const auto none = std::vector<ReplicaPtr>();
     const auto found = byService_.find(service);
@@ -419,7 +419,7 @@
     const auto sharedKey = query.sharedId ^ decisions::nameHash(query.adapter.view());
     auto preferred = decisions::FirstByRendezvous<ReplicaPtr>(
         query.adapter.empty() ? sharedKey : decisions::nameHash(query.adapter.view()), preferredPerAdapter);
-    for (const auto& replica : of(query.service)) {
+    for (const auto& replica : replicasOf(query.service)) {
         if (!condition(*replica))
             continue;
         if (fullMesh_ || !replica->agent() || replica->agent()->alive())
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -53,7 +53,7 @@
     auto start() -> void;
     /// Services whose replicas have an agent beside them.
     auto configure(std::shared_ptr<const ServingConfiguration> configuration, const std::string& holder) -> void;
-    [[nodiscard]] auto of(const ServiceName& service) const -> const std::vector<ReplicaPtr>&;
+    [[nodiscard]] auto replicasOf(const ServiceName& service) const -> const std::vector<ReplicaPtr>&;
     /// Replicas of the service that meet the condition. If there is a session with every agent, all of them; otherwise
     /// those whose state is known and a few others, chosen by the adapter's name and among its holders.
     [[nodiscard]] auto candidates(const CandidateQuery& query, const Condition& condition) const
--- a/packages/serving/RequestAnswer.cpp
+++ b/packages/serving/RequestAnswer.cpp
@@ -93,7 +93,7 @@
     if (lastTold_ != Moment())
         longestPause_ = std::max(longestPause_, now - lastTold_);
     lastTold_ = now;
-    caller_->piece(event.text);
+    caller_->writeChunk(event.text);
     return true;
 }
 
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -109,7 +109,7 @@
     if (usable.empty())
         return std::nullopt;
     auto fastest = Duration::max();
-    for (const auto& replica : gateway_.directory.of(service_)) {
+    for (const auto& replica : gateway_.directory.replicasOf(service_)) {
         if (replica->meanTime().count() > 0)
             fastest = std::min(fastest, replica->meanTime());
     }
@@ -194,7 +194,7 @@
 auto RequestRun::waitForPlace() -> void
 {
     const auto now = gateway_.now();
-    const auto& replicas = gateway_.directory.of(service_);
+    const auto& replicas = gateway_.directory.replicasOf(service_);
     const auto untried = std::any_of(replicas.begin(), replicas.end(),
         [&](const ReplicaPtr& replica) { return !replica->leaving() && !tried_.contains(replica->id()); });
     if (!untried || sends_ >= mostSends)
--- a/packages/serving/RequestRun.cpp
+++ b/packages/serving/RequestRun.cpp
@@ -31,7 +31,8 @@
 
 } // namespace
 
-RequestRun::RequestRun(Gateway& gateway, std::shared_ptr<CallerExchange> caller, wire::HttpRequestMessage request)
+RequestRun::RequestRun(
+    GatewayContext& gateway, std::shared_ptr<CallerExchange> caller, wire::HttpRequestMessage request)
     : gateway_(gateway)
     , caller_(std::move(caller))
     , request_(std::move(request))
--- a/packages/serving/RequestRun.h
+++ b/packages/serving/RequestRun.h
@@ -4,7 +4,7 @@
 #include "platform/RequestHeaders.h"
 #include "serving/CallerExchange.h"
 #include "serving/EventSplitter.h"
-#include "serving/Gateway.h"
+#include "serving/GatewayContext.h"
 #include "serving/ReplicaLeg.h"
 
 #include <memory>
@@ -20,7 +20,7 @@
 /// It keeps itself alive by the callbacks it has registered, and ends by dropping them.
 class RequestRun : public std::enable_shared_from_this<RequestRun> {
 public:
-    RequestRun(Gateway& gateway, std::shared_ptr<CallerExchange> caller, wire::HttpRequestMessage request);
+    RequestRun(GatewayContext& gateway, std::shared_ptr<CallerExchange> caller, wire::HttpRequestMessage request);
     auto start() -> void;
 
 private:
@@ -93,7 +93,7 @@
     /// A timer's callback that holds the run while it is at work, since its last answer may let go of it.
     [[nodiscard]] auto guarded(void (RequestRun::*step)()) -> std::function<void()>;
 
-    Gateway& gateway_;
+    GatewayContext& gateway_;
     std::shared_ptr<CallerExchange> caller_;
     wire::HttpRequestMessage request_;
     RequestFacts facts_;
--- a/standins/ReplicaStandin.cpp
+++ b/standins/ReplicaStandin.cpp
@@ -176,7 +176,7 @@
         then = Behaviour::Then::Finish;
     const auto last = then == Behaviour::Then::Finish ? behaviour_.events : behaviour_.sent;
     for (auto event = from + 1; event <= last; ++event)
-        caller->piece("id: " + std::to_string(event) + "\ndata: " + std::to_string(event) + "\n\n");
+        caller->writeChunk("id: " + std::to_string(event) + "\ndata: " + std::to_string(event) + "\n\n");
     switch (then) {
     case Behaviour::Then::Finish:
         return caller->finish();
--- a/tests/harness/ServingWorld.cpp
+++ b/tests/harness/ServingWorld.cpp
@@ -143,7 +143,7 @@
         return replica->agent() && replica->agent()->alive() && replica->agent()->state().usable;
     };
     const auto settled = [&] {
-        const auto& replicas = gateway.directory().of(serving::ServiceName("engine"));
+        const auto& replicas = gateway.directory().replicasOf(serving::ServiceName("engine"));
         const auto all = std::all_of(replicas.begin(), replicas.end(), usable);
         return gateway.ready() && all && replicas.size() == engines_.size();
     };
--- a/tests/integration/CallerExchange.cpp
+++ b/tests/integration/CallerExchange.cpp
@@ -102,7 +102,7 @@
     client.exchanges[0]->respond({ .status = 504 }, "first");
     BOOST_TEST(client.received().ends_with("first"));
     client.exchanges[0]->begin({ .status = 200 });
-    client.exchanges[0]->piece("late");
+    client.exchanges[0]->writeChunk("late");
     client.exchanges[0]->finish();
     BOOST_TEST(client.received().empty());
     BOOST_TEST(client.misuses == 3);
@@ -127,7 +127,7 @@
     auto client = Client();
     client.ask("/one");
     client.exchanges[0]->begin({ .status = 200 });
-    client.exchanges[0]->piece("half");
+    client.exchanges[0]->writeChunk("half");
     client.exchanges[0]->respond({ .status = 502 }, "whole");
     BOOST_TEST(client.closed);
     BOOST_TEST(client.received().find("whole") == std::string::npos);
--- a/tests/integration/ServingAgents.cpp
+++ b/tests/integration/ServingAgents.cpp
@@ -102,7 +102,7 @@
     world.publishReplicas();
     world.stopAgent(0);
     BOOST_TEST(world.until([&] {
-        const auto& replica = gateway.directory().of(serving::ServiceName("engine")).front();
+        const auto& replica = gateway.directory().replicasOf(serving::ServiceName("engine")).front();
         return !replica->agent()->alive() && !replica->record().adapters.empty();
     }));
     BOOST_TEST(world.ask({ .attempt = "two" }).status == 200);
@@ -135,7 +135,7 @@
     world.engine(0).behave({ .sent = 0, .then = standins::ReplicaStandin::Behaviour::Then::Reset });
     for (auto count = 0; count < 3; ++count)
         (void)world.ask({ .path = "/whole/x", .attempt = "lost-" + std::to_string(count) });
-    const auto& replicas = other.directory().of(serving::ServiceName("engine"));
+    const auto& replicas = other.directory().replicasOf(serving::ServiceName("engine"));
     BOOST_TEST(world.until([&] { return !replicas.at(0)->agent()->state().usable; }));
     world.engine(0).behave({});
     BOOST_TEST(world.until([&] { return replicas.at(0)->agent()->state().usable; }));
@@ -163,7 +163,7 @@
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway(true, "zone-2");
     BOOST_TEST(world.ask({ .attempt = "one", .adapter = "a7" }).status == 200);
-    const auto& replicas = gateway.directory().of(serving::ServiceName("engine"));
+    const auto& replicas = gateway.directory().replicasOf(serving::ServiceName("engine"));
     BOOST_TEST(world.until([&] { return replicas.at(0)->agent()->state().resident.contains(AdapterId("a7")); }));
 }
 
@@ -181,7 +181,7 @@
     BOOST_TEST(world.engine(0).orders().empty());
     world.engine(0).behave({});
     BOOST_TEST(world.until([&] {
-        const auto& replicas = gateway.directory().of(serving::ServiceName("engine"));
+        const auto& replicas = gateway.directory().replicasOf(serving::ServiceName("engine"));
         return std::any_of(replicas.begin(), replicas.end(), [](const serving::ReplicaPtr& replica) {
             return replica->id().str() == "engine-0b" && replica->agent()->state().usable;
         });
--- a/tests/integration/ServingStarts.cpp
+++ b/tests/integration/ServingStarts.cpp
@@ -9,7 +9,7 @@
 
 auto engineOf(serving::GatewayRole& gateway) -> serving::ReplicaPtr
 {
-    const auto& replicas = gateway.directory().of(serving::ServiceName("engine"));
+    const auto& replicas = gateway.directory().replicasOf(serving::ServiceName("engine"));
     return replicas.empty() ? nullptr : replicas.front();
 }
 
