--- a/packages/router/EntryRole.cpp
+++ b/packages/router/EntryRole.cpp
@@ -64,11 +64,11 @@
 {
     auto call = std::make_shared<Call>();
     call->exchange = exchange;
-    call->request = newRequestId();
+    call->requestId = newRequestId();
     call->receivedAt = now();
     call->configuration = config_.current();
     if (!config_.ready()) {
-        writeError(exchange, call->request,
+        writeError(exchange, call->requestId,
             Error(Step::Resolve, 503, "not_ready", "the configuration is not known yet").retryAfter(1s));
         return;
     }
@@ -79,7 +79,7 @@
         },
         [&](const Error& error) {
             metrics_.count("eelgrass_refusals_total", { { "type", error.type() } });
-            writeError(exchange, call->request, error);
+            writeError(exchange, call->requestId, error);
             return true;
         });
     if (refused)
--- a/packages/router/Metrics.cpp
+++ b/packages/router/Metrics.cpp
@@ -64,7 +64,7 @@
     observe(familyOf(times_, registry_, name).Add(labels, timeBounds), time);
 }
 
-auto Metrics::observeShare(const std::string& name, double share) -> void
+auto Metrics::observeRatio(const std::string& name, double share) -> void
 {
     familyOf(times_, registry_, name).Add({}, shareBounds).Observe(share);
 }
--- a/packages/router/Metrics.h
+++ b/packages/router/Metrics.h
@@ -31,7 +31,7 @@
     /// A time with arbitrary labels.
     auto observe(const std::string& name, const std::map<std::string, std::string>& labels, Duration time) -> void;
     /// A share from 0 to 1, as how full an engine step was.
-    auto observeShare(const std::string& name, double share) -> void;
+    auto observeRatio(const std::string& name, double share) -> void;
     static auto observe(Series& series, Duration time) -> void;
     auto count(const std::string& name, const std::map<std::string, std::string>& labels, double by = 1) -> void;
 
--- a/packages/router/WireTypes.cpp
+++ b/packages/router/WireTypes.cpp
@@ -32,20 +32,20 @@
     return RunState::Unknown;
 }
 
-auto kindFrom(wire::schema::StartRequest::Kind kind) -> StartOrder::Kind
+auto kindFrom(wire::schema::StartRequest::Kind kind) -> AttemptRequest::Kind
 {
     using Schema = wire::schema::StartRequest::Kind;
     if (kind == Schema::SERVICE)
-        return StartOrder::Kind::Service;
-    return kind == Schema::CHAT ? StartOrder::Kind::Chat : StartOrder::Kind::Completion;
+        return AttemptRequest::Kind::Service;
+    return kind == Schema::CHAT ? AttemptRequest::Kind::Chat : AttemptRequest::Kind::Completion;
 }
 
-auto toSchema(StartOrder::Kind kind) -> wire::schema::StartRequest::Kind
+auto toSchema(AttemptRequest::Kind kind) -> wire::schema::StartRequest::Kind
 {
     using Schema = wire::schema::StartRequest::Kind;
-    if (kind == StartOrder::Kind::Service)
+    if (kind == AttemptRequest::Kind::Service)
         return Schema::SERVICE;
-    return kind == StartOrder::Kind::Chat ? Schema::CHAT : Schema::COMPLETION;
+    return kind == AttemptRequest::Kind::Chat ? Schema::CHAT : Schema::COMPLETION;
 }
 
 } // namespace
@@ -60,32 +60,32 @@
     return { reinterpret_cast<const kj::byte*>(text.data()), text.size() };
 }
 
-auto write(const StartOrder& order, wire::schema::StartRequest::Builder into) -> void
+auto write(const AttemptRequest& request, wire::schema::StartRequest::Builder into) -> void
 {
-    into.setAttempt(order.attempt.str());
-    into.setRequestId(order.request.str());
-    into.setMember(order.member.str());
-    into.setModel(order.model.str());
-    into.setRequestClass(order.requestClass.str());
-    into.setDeadlineMs(static_cast<std::uint32_t>(order.deadline.count()));
-    into.setNeverRepeat(order.neverRepeat);
-    into.setTargetEpoch(order.epoch.value());
-    into.setKind(toSchema(order.kind));
-    into.setBody(dataOf(order.body));
-    into.setMethod(order.method);
-    into.setPath(order.path);
-    into.setContentType(order.contentType);
-    into.setDigest(order.digest);
-    into.setSkipTokens(order.skipTokens);
-    into.setGivenText(order.givenText);
-    into.setCrashes(order.crashes);
+    into.setAttempt(request.attempt.str());
+    into.setRequestId(request.requestId.str());
+    into.setMember(request.member.str());
+    into.setModel(request.model.str());
+    into.setRequestClass(request.requestClass.str());
+    into.setDeadlineMs(static_cast<std::uint32_t>(request.deadline.count()));
+    into.setNeverRepeat(request.neverRepeat);
+    into.setTargetEpoch(request.epoch.value());
+    into.setKind(toSchema(request.kind));
+    into.setBody(dataOf(request.body));
+    into.setMethod(request.method);
+    into.setPath(request.path);
+    into.setContentType(request.contentType);
+    into.setDigest(request.digest);
+    into.setSkipTokens(request.skipTokens);
+    into.setGivenText(request.givenText);
+    into.setCrashes(request.crashes);
 }
 
-auto read(wire::schema::StartRequest::Reader from) -> StartOrder
+auto read(wire::schema::StartRequest::Reader from) -> AttemptRequest
 {
     return {
         .attempt = AttemptId(from.getAttempt()),
-        .request = RequestId(from.getRequestId()),
+        .requestId = RequestId(from.getRequestId()),
         .member = MemberId(from.getMember()),
         .model = ModelName(from.getModel()),
         .requestClass = RequestClass(from.getRequestClass()),
--- a/packages/router/WireTypes.h
+++ b/packages/router/WireTypes.h
@@ -12,11 +12,11 @@
 namespace eelgrass::router {
 
 /// What an entry asks a target process to run.
-struct StartOrder {
+struct AttemptRequest {
     enum class Kind { Completion, Chat, Service };
 
     AttemptId attempt;
-    RequestId request;
+    RequestId requestId;
     MemberId member;
     /// Empty for a plain service.
     ModelName model;
@@ -54,8 +54,8 @@
 [[nodiscard]] auto textOf(capnp::Data::Reader data) -> std::string;
 [[nodiscard]] auto dataOf(std::string_view text) -> capnp::Data::Reader;
 
-auto write(const StartOrder& order, wire::schema::StartRequest::Builder into) -> void;
-[[nodiscard]] auto read(wire::schema::StartRequest::Reader from) -> StartOrder;
+auto write(const AttemptRequest& request, wire::schema::StartRequest::Builder into) -> void;
+[[nodiscard]] auto read(wire::schema::StartRequest::Reader from) -> AttemptRequest;
 auto write(const Error& error, wire::schema::Refusal::Builder into) -> void;
 [[nodiscard]] auto read(wire::schema::Refusal::Reader from) -> Error;
 auto write(const AnswerEnd& end, wire::schema::AnswerEnd::Builder into) -> void;
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -46,26 +46,26 @@
     expiry_ = loop_.timers().every(expiryPeriod, [this] { expire(); });
 }
 
-auto AttemptsController::start(StartOrder order, wire::schema::ChunkSink::Client sink) -> std::optional<Error>
+auto AttemptsController::start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>
 {
     if (leaving_)
         return notRun(Step::Start, 503, "leaving", "this target is leaving", 1s);
     if (!engineAlive_)
         return notRun(Step::Start, 503, "engine_away", "the engine of this target is away", 1s);
-    if (order.epoch != epoch_)
+    if (request.epoch != epoch_)
         return notRun(Step::Start, 409, "stale_epoch", "this target has another owner now", 0s);
-    if (revoked_.contains(order.attempt))
+    if (revoked_.contains(request.attempt))
         return notRun(Step::Start, 409, "revoked", "this attempt was revoked", 0s);
-    if (attempts_.contains(order.attempt))
+    if (attempts_.contains(request.attempt))
         return Error(Step::Start, 409, "duplicate_attempt", "this attempt is known already").run(RunState::Unknown);
-    auto attempt = std::make_shared<Attempt>(loop_, std::move(order), now());
+    auto attempt = std::make_shared<Attempt>(loop_, std::move(request), now());
     if (auto refused = offer(attempt))
         return refused;
     attempt->output.attach(kj::mv(sink), ChunkNumber(0));
-    attempts_[attempt->order.attempt] = attempt;
+    attempts_[attempt->request.attempt] = attempt;
     queue_.push_back(attempt);
     if (slots_)
-        slots_->asked(attempt->order.model);
+        slots_->asked(attempt->request.model);
     // Started in the next turn, so that the acceptance is on its way before the first chunk.
     loop_.spawn(kj::evalLater([this] { pump(); }));
     return std::nullopt;
@@ -73,12 +73,12 @@
 
 auto AttemptsController::offer(const AttemptPtr& attempt) -> std::optional<Error>
 {
-    const auto& order = attempt->order;
-    const auto deadline = order.deadline.count() > 0 ? attempt->acceptedAt + order.deadline : Moment::max();
+    const auto& request = attempt->request;
+    const auto deadline = request.deadline.count() > 0 ? attempt->acceptedAt + request.deadline : Moment::max();
     dropUnqueued();
     const auto answer = requests_.offer(
-        { order.attempt, order.member, order.model, order.requestClass, attempt->acceptedAt, deadline }, resident(),
-        running_, now());
+        { request.attempt, request.member, request.model, request.requestClass, attempt->acceptedAt, deadline },
+        resident(), running_, now());
     const auto* refused = std::get_if<decisions::Refused>(&answer);
     if (!refused)
         return std::nullopt;
@@ -132,8 +132,8 @@
 
 auto AttemptsController::adopt(const AttemptId& id, const ModelName& model) -> void
 {
-    auto order = StartOrder { .attempt = id, .model = model };
-    auto attempt = std::make_shared<Attempt>(loop_, std::move(order), now());
+    auto request = AttemptRequest { .attempt = id, .model = model };
+    auto attempt = std::make_shared<Attempt>(loop_, std::move(request), now());
     attempt->adopted = true;
     attempt->started = true;
     attempt->state = Attempt::State::Running;
@@ -251,7 +251,7 @@
     auto abandoned = std::vector<AttemptId>();
     for (const auto& [id, attempt] : attempts_) {
         // One that may run only once goes on: its caller's re-send joins it.
-        const auto wanted = attempt->order.neverRepeat || attempt->adopted || attempt->output.attached();
+        const auto wanted = attempt->request.neverRepeat || attempt->adopted || attempt->output.attached();
         if (attempt->state == Attempt::State::Ended || wanted)
             continue;
         if (now() - attempt->output.detachedAt() > readerGrace)
@@ -271,7 +271,7 @@
         const auto attempt = attempts_.at(next->attempt);
         // Load made for: a request that crashes engines. What ran when an engine died runs alone, so that a second
         // crash names the culprit and takes no innocent request with it.
-        if (suspectRunning_ || (attempt->order.crashes > 0 && running_ > 0)) {
+        if (suspectRunning_ || (attempt->request.crashes > 0 && running_ > 0)) {
             requests_.putBack(*next);
             break;
         }
@@ -291,7 +291,7 @@
 auto AttemptsController::noteStalls() -> void
 {
     for (const auto& attempt : queue_) {
-        if (attempt->stalledAt || slots_->ready(attempt->order.model))
+        if (attempt->stalledAt || slots_->ready(attempt->request.model))
             continue;
         attempt->stalledAt = now();
         attempt->output.progress("loading adapter");
@@ -306,12 +306,12 @@
     if (attempt->stalledAt)
         attempt->loadStall = now() - *attempt->stalledAt;
     ++running_;
-    metrics_.observeShare("eelgrass_batch_fill", static_cast<double>(running_) / static_cast<double>(limits_.batch));
+    metrics_.observeRatio("eelgrass_batch_fill", static_cast<double>(running_) / static_cast<double>(limits_.batch));
     attempt->started = true;
     attempt->pinned = slots_;
-    suspectRunning_ = attempt->order.crashes > 0;
-    if (attempt->order.neverRepeat)
-        remember(attempt->order.attempt);
+    suspectRunning_ = attempt->request.crashes > 0;
+    if (attempt->request.neverRepeat)
+        remember(attempt->request.attempt);
     work(attempt, gate_().then([this, attempt](bool owner) -> kj::Promise<void> {
         if (owner)
             return std::visit([&](auto& runner) { return runner.run(attempt, epoch_); }, runner_);
@@ -326,7 +326,7 @@
     attempt->work
         = task.then([this, attempt] { finished(attempt); }).eagerlyEvaluate([this, attempt](kj::Exception&& broken) {
               log::error("attempt failed",
-                  { { "attempt", attempt->order.attempt.str() }, { "reason", broken.getDescription().cStr() } });
+                  { { "attempt", attempt->request.attempt.str() }, { "reason", broken.getDescription().cStr() } });
               attempt->output.end(
                   { .error = Error(Step::Engine, 500, "internal", "the attempt failed").run(RunState::Unknown) });
               finished(attempt);
@@ -340,16 +340,16 @@
     attempt->state = Attempt::State::Ended;
     --running_;
     if (!attempt->cancelled)
-        requests_.ran(attempt->order.requestClass, now() - attempt->acceptedAt - attempt->queueWait);
+        requests_.ran(attempt->request.requestClass, now() - attempt->acceptedAt - attempt->queueWait);
     suspectRunning_ = suspectRunning_ && running_ > 0;
     if (const auto* error = attempt->output.error(); error && error->type() == "engine_lost")
-        suspects_.crashed(attempt->order.digest, attempt->order.crashes);
+        suspects_.crashed(attempt->request.digest, attempt->request.crashes);
     else if (!error)
-        suspects_.succeeded(attempt->order.digest);
+        suspects_.succeeded(attempt->request.digest);
     metrics_.count("eelgrass_attempts_total", { { "outcome", attempt->cancelled ? "cancelled" : "ended" } });
     forgetLater(attempt);
     if (slots_ && std::exchange(attempt->pinned, false))
-        slots_->unpin(attempt->order.model);
+        slots_->unpin(attempt->request.model);
     pump();
 }
 
@@ -373,8 +373,8 @@
 
 auto AttemptsController::forgetLater(const AttemptPtr& attempt) -> void
 {
-    const auto& id = attempt->order.attempt;
-    const auto kept = attempt->order.neverRepeat ? keptUnreleased : keptAfterEnd;
+    const auto& id = attempt->request.attempt;
+    const auto kept = attempt->request.neverRepeat ? keptUnreleased : keptAfterEnd;
     forgetting_[id] = loop_.timers().after(kept, [this, id] {
         attempts_.erase(id);
         forgetting_.erase(id);
@@ -391,7 +391,7 @@
             notRun(Step::Queue, 503, "deadline", "the request could not start in time", later));
     }
     for (const auto& attempt : std::deque<AttemptPtr>(queue_)) {
-        if (slots_ && slots_->failures(attempt->order.model) >= maxLoadFailures)
+        if (slots_ && slots_->failures(attempt->request.model) >= maxLoadFailures)
             giveUp(attempt, notRun(Step::Load, 503, "load_failed", "the adapter could not be loaded", 5s));
     }
     // Some answers of the decisions change with time alone, as when a load that nobody used may be evicted.
--- a/packages/router/controllers/AttemptsController.h
+++ b/packages/router/controllers/AttemptsController.h
@@ -38,7 +38,7 @@
     auto onChange(std::function<void()> callback) -> void { onChange_ = std::move(callback); }
 
     /// Empty when the attempt was accepted; otherwise why it did not and will not run.
-    [[nodiscard]] auto start(StartOrder order, wire::schema::ChunkSink::Client sink) -> std::optional<Error>;
+    [[nodiscard]] auto start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>;
     struct ResumeOrder {
         AttemptId attempt;
         ModelName model;
--- a/packages/router/controllers/TargetsController.cpp
+++ b/packages/router/controllers/TargetsController.cpp
@@ -38,11 +38,12 @@
 
 auto TargetsController::closeIdle() -> void
 {
-    const auto unused = [](const TargetLink& link) { return !link.awaited() && now() - link.lastUsed() > idleLimit; };
+    const auto unused
+        = [](const TargetLink& link) { return !link.hasWaiters() && now() - link.lastUsed() > idleLimit; };
     for (const auto& [target, link] : links_) {
         // Without a session nothing corrects the last report: a queue that was long when the session ended would keep
         // requests off the target for ever.
-        if (unused(*link) || !link->open())
+        if (unused(*link) || !link->isOpen())
             fleet_.forgetLoad(target);
     }
     std::erase_if(links_, [&](const auto& link) { return unused(*link.second); });
--- a/packages/router/entry/AnswerWriter.cpp
+++ b/packages/router/entry/AnswerWriter.cpp
@@ -35,7 +35,7 @@
     : loop_(loop)
     , call_(std::move(call))
 {
-    call_->exchange->setHeader("X-Request-Id", call_->request.str());
+    call_->exchange->setHeader("X-Request-Id", call_->requestId.str());
     call_->exchange->onDrained([this] { drained(); });
     if (call_->stream)
         commentTimer_ = loop_.timers().every(commentPeriod, [this] { comment(); });
@@ -44,13 +44,14 @@
 
 auto AnswerWriter::nameModel() -> void
 {
-    if (call_->kind == StartOrder::Kind::Service)
+    if (call_->kind == AttemptRequest::Kind::Service)
         return;
     call_->exchange->setHeader("X-Eelgrass-Adapter", call_->model.adapter.str());
     call_->exchange->setHeader("X-Eelgrass-Version", std::to_string(call_->model.version.value()));
-    const auto chat = call_->kind == StartOrder::Kind::Chat;
-    auto head = Json { { "id", call_->request.str() }, { "object", chat ? "chat.completion.chunk" : "text_completion" },
-        { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) } };
+    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
+    auto head
+        = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion.chunk" : "text_completion" },
+              { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) } };
     prefix_ = head.dump();
     prefix_.pop_back();
 }
@@ -72,7 +73,7 @@
     if (begun_)
         return;
     begun_ = true;
-    const auto service = call_->kind == StartOrder::Kind::Service;
+    const auto service = call_->kind == AttemptRequest::Kind::Service;
     call_->exchange->begin(status_, service ? contentType_ : "text/event-stream");
 }
 
@@ -93,7 +94,7 @@
 
 auto AnswerWriter::event(std::string_view text, const std::string& finishReason) -> std::string
 {
-    const auto chat = call_->kind == StartOrder::Kind::Chat;
+    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
     auto escaped = Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
     auto out = "data: " + prefix_ + R"(,"choices":[{"index":0,)";
     out += chat ? R"("delta":{"content":)" + escaped + "}" : R"("text":)" + escaped;
@@ -106,7 +107,7 @@
     if (!firstTokenAt_)
         firstTokenAt_ = loop_.timers().now();
     tokens_ += tokens;
-    if (call_->kind == StartOrder::Kind::Service) {
+    if (call_->kind == AttemptRequest::Kind::Service) {
         begin();
         call_->exchange->send(text);
         return;
@@ -123,13 +124,13 @@
 
 auto AnswerWriter::wholeBody(const AnswerEnd& end) const -> std::string
 {
-    const auto chat = call_->kind == StartOrder::Kind::Chat;
+    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
     auto choice = Json { { "index", 0 }, { "finish_reason", end.finishReason } };
     if (chat)
         choice["message"] = { { "role", "assistant" }, { "content", gathered_ } };
     else
         choice["text"] = gathered_;
-    auto body = Json { { "id", call_->request.str() }, { "object", chat ? "chat.completion" : "text_completion" },
+    auto body = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion" : "text_completion" },
         { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) },
         { "choices", Json::array({ choice }) }, { "usage", { { "completion_tokens", tokens_ } } } };
     return body.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -141,7 +142,7 @@
     if (end.error)
         return refuse(*end.error);
     auto& exchange = *call_->exchange;
-    if (call_->kind == StartOrder::Kind::Service) {
+    if (call_->kind == AttemptRequest::Kind::Service) {
         begin();
         return exchange.finish();
     }
@@ -157,13 +158,13 @@
     commentTimer_ = {};
     auto& exchange = *call_->exchange;
     if (!begun_)
-        return writeError(call_->exchange, call_->request, error);
+        return writeError(call_->exchange, call_->requestId, error);
     // A service's bytes have no place for an error: the connection is broken, so that the caller sees that more was
     // due.
-    if (call_->kind == StartOrder::Kind::Service)
+    if (call_->kind == AttemptRequest::Kind::Service)
         return exchange.abort();
     exchange.send("event: error\ndata: "
-        + errorJson(call_->request, error).dump(-1, ' ', false, Json::error_handler_t::replace) + "\n\n");
+        + errorJson(call_->requestId, error).dump(-1, ' ', false, Json::error_handler_t::replace) + "\n\n");
     exchange.finish();
 }
 
--- a/packages/router/entry/Call.h
+++ b/packages/router/entry/Call.h
@@ -12,13 +12,13 @@
 /// One caller's request on its way through the filters. Each filter fills in what the next ones need.
 struct Call {
     wire::HttpExchangePtr exchange;
-    RequestId request;
+    RequestId requestId;
     Moment receivedAt {};
     /// The configuration that this request is judged by, from its first filter to its end.
     ConfigurationPtr configuration;
 
     Caller caller;
-    StartOrder::Kind kind = StartOrder::Kind::Completion;
+    AttemptRequest::Kind kind = AttemptRequest::Kind::Completion;
     bool stream = false;
     Json body;
     std::string service;
--- a/packages/router/entry/Relay.cpp
+++ b/packages/router/entry/Relay.cpp
@@ -149,7 +149,7 @@
 {
     log::info("attempt joined",
         { { "step", "claim" }, { "peer", claim.target.str() }, { "attempt", claim.attempt.str() },
-            { "request_id", call_->request.str() } });
+            { "request_id", call_->requestId.str() } });
     runsAs(claim.model);
     attempt_ = claim.attempt;
     target_ = claim.target;
@@ -184,7 +184,7 @@
 {
     auto request
         = decisions::PlacementRequest { .model = call_->model.name, .serves = call_->model.base, .tried = tried_ };
-    if (call_->kind == StartOrder::Kind::Service)
+    if (call_->kind == AttemptRequest::Kind::Service)
         request.serves = call_->service;
     return request;
 }
@@ -228,7 +228,7 @@
     if (done_)
         return kj::READY_NOW;
     ++attempts_;
-    auto attempt = AttemptId(call_->request.str() + "." + std::to_string(attempts_));
+    auto attempt = AttemptId(call_->requestId.str() + "." + std::to_string(attempts_));
     epoch_ = targets_.epoch(target);
     if (!record_) {
         attempt_ = std::move(attempt);
@@ -245,12 +245,12 @@
         });
 }
 
-auto Relay::order() -> StartOrder
+auto Relay::attemptRequest() -> AttemptRequest
 {
     const auto spent = std::chrono::duration_cast<std::chrono::milliseconds>(now() - call_->receivedAt);
-    auto order = StartOrder {
+    auto request = AttemptRequest {
         .attempt = attempt_,
-        .request = call_->request,
+        .requestId = call_->requestId,
         .member = call_->caller.member,
         .model = call_->model.name,
         .requestClass = call_->requestClass,
@@ -258,18 +258,19 @@
         .neverRepeat = call_->neverRepeat,
         .epoch = epoch_,
         .kind = call_->kind,
-        .body = call_->kind == StartOrder::Kind::Service ? std::string(call_->exchange->body()) : call_->body.dump(),
+        .body
+        = call_->kind == AttemptRequest::Kind::Service ? std::string(call_->exchange->body()) : call_->body.dump(),
         .path = call_->servicePath,
         .digest = digest_,
         .skipTokens = writer_.written(),
         .givenText = given_,
         .crashes = crashes_ = quarantine_.crashes(digest_),
     };
-    if (call_->kind == StartOrder::Kind::Service) {
-        order.method = call_->exchange->method();
-        order.contentType = call_->exchange->header("Content-Type");
+    if (call_->kind == AttemptRequest::Kind::Service) {
+        request.method = call_->exchange->method();
+        request.contentType = call_->exchange->header("Content-Type");
     }
-    return order;
+    return request;
 }
 
 auto Relay::send(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>
@@ -278,7 +279,7 @@
     nextChunk_ = ChunkNumber(0);
     early_.clear();
     auto request = session.startRequest();
-    router::write(order(), request.initRequest());
+    router::write(attemptRequest(), request.initRequest());
     request.setSink(kj::heap<Sink>(weak_from_this(), attempt_));
     return request.send()
         .attach(watch(target))
@@ -427,7 +428,7 @@
     return tryNext();
 }
 
-auto Relay::repeatable() const -> bool { return !record_ && call_->kind != StartOrder::Kind::Service; }
+auto Relay::repeatable() const -> bool { return !record_ && call_->kind != AttemptRequest::Kind::Service; }
 
 auto Relay::receive(ChunkNumber number, Piece piece) -> kj::Promise<void>
 {
@@ -540,7 +541,7 @@
         error = std::move(error).run(RunState::Unknown);
     log::info("request refused",
         { { "step", std::string(toString(error.step())) }, { "peer", error.peer() }, { "type", error.type() },
-            { "request_id", call_->request.str() }, { "member", call_->caller.member.str() } });
+            { "request_id", call_->requestId.str() }, { "member", call_->caller.member.str() } });
     writer_.refuse(error);
     if (record_ && claimed_ && error.run() == RunState::NotRun)
         loop_.spawn(record_->free().attach(kj::heap(shared_from_this())));
@@ -556,7 +557,7 @@
     metrics_.observe("eelgrass_answer_seconds", call_->caller.member, call_->requestClass, now() - call_->receivedAt);
     if (log::debugs()) {
         log::debug("request over",
-            { { "step", "relay" }, { "peer", target_ ? target_->str() : "" }, { "request_id", call_->request.str() },
+            { { "step", "relay" }, { "peer", target_ ? target_->str() : "" }, { "request_id", call_->requestId.str() },
                 { "member", call_->caller.member.str() }, { "adapter", call_->model.adapter.str() },
                 { "attempt", attempt_.str() } });
     }
@@ -572,7 +573,7 @@
 template <typename MakeRequest> auto Relay::tell(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void
 {
     auto link = target ? targets_.link(*target) : nullptr;
-    if (!link || !link->open())
+    if (!link || !link->isOpen())
         return;
     loop_.spawn(link->session()
                     .then([attempt = attempt_, makeRequest](wire::schema::TargetSession::Client session) {
--- a/packages/router/entry/Relay.h
+++ b/packages/router/entry/Relay.h
@@ -58,7 +58,7 @@
     auto startAt(const TargetId& target) -> kj::Promise<void>;
     auto claimAt(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
     auto send(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
-    auto order() -> StartOrder;
+    auto attemptRequest() -> AttemptRequest;
     auto watch(const TargetId& target) -> kj::Own<kj::Promise<void>>;
     auto refusedBy(const TargetId& target, const Error& error) -> kj::Promise<void>;
     auto follow(const TargetId& target) -> kj::Promise<void>;
--- a/packages/router/entry/RunRecord.cpp
+++ b/packages/router/entry/RunRecord.cpp
@@ -26,7 +26,7 @@
     : loop_(loop)
     , ledger_(ledger)
     , key_(LedgerController::key(
-          call.caller.member, call.idempotencyKey.empty() ? call.request.str() : call.idempotencyKey))
+          call.caller.member, call.idempotencyKey.empty() ? call.requestId.str() : call.idempotencyKey))
     , digest_(digestOf(call))
     , model_(call.model.name)
 {
--- a/packages/router/entry/TargetLink.cpp
+++ b/packages/router/entry/TargetLink.cpp
@@ -174,7 +174,7 @@
 
 auto TargetLink::nextBeat() -> void
 {
-    const auto period = awaited() ? heartbeatPeriod : idleHeartbeatPeriod;
+    const auto period = hasWaiters() ? heartbeatPeriod : idleHeartbeatPeriod;
     heartbeat_ = loop_.timers().after(period, [this] { beat(); });
 }
 
--- a/packages/router/entry/TargetLink.h
+++ b/packages/router/entry/TargetLink.h
@@ -25,11 +25,11 @@
     [[nodiscard]] auto session() -> kj::Promise<wire::schema::TargetSession::Client>;
     /// Kept when the session now open is lost. Whoever holds the promise awaits an answer on this session.
     [[nodiscard]] auto whenLost() -> kj::Promise<void>;
-    [[nodiscard]] auto awaited() const noexcept -> bool { return awaited_ > 0; }
+    [[nodiscard]] auto hasWaiters() const noexcept -> bool { return awaited_ > 0; }
     /// Something came from the target: as good as the answer to a heartbeat.
     auto heard() noexcept -> void { heardAt_ = now(); }
     [[nodiscard]] auto host() const noexcept -> const platform::HostRecord& { return host_; }
-    [[nodiscard]] auto open() const noexcept -> bool { return session_.has_value(); }
+    [[nodiscard]] auto isOpen() const noexcept -> bool { return session_.has_value(); }
     [[nodiscard]] auto lastUsed() const noexcept -> Moment { return lastUsed_; }
 
 private:
--- a/packages/router/filters/RequestFilters.cpp
+++ b/packages/router/filters/RequestFilters.cpp
@@ -86,7 +86,7 @@
     const auto& body = call.body;
     if (!body.contains("model") || !body["model"].is_string())
         return invalid("model must be a string");
-    if (call.kind == StartOrder::Kind::Chat)
+    if (call.kind == AttemptRequest::Kind::Chat)
         BOOST_LEAF_CHECK(checkMessages(body));
     else if (!body.contains("prompt") || !body["prompt"].is_string())
         return invalid("prompt must be a string");
@@ -106,7 +106,7 @@
 {
     const auto rest = path.substr(servicePrefix.size());
     const auto slash = rest.find('/');
-    call.kind = StartOrder::Kind::Service;
+    call.kind = AttemptRequest::Kind::Service;
     call.service = rest.substr(0, slash);
     call.servicePath = slash == std::string::npos ? "/" : rest.substr(slash);
     const auto query = call.exchange->queryString();
@@ -154,7 +154,7 @@
     if (path.starts_with(servicePrefix))
         return parseService(call, path);
     if (path == "/v1/chat/completions")
-        call.kind = StartOrder::Kind::Chat;
+        call.kind = AttemptRequest::Kind::Chat;
     else if (path != "/v1/completions")
         return fail(Error(Step::Parse, 404, "unknown_path", "there is nothing at this path"));
     return parseCompletion(call);
@@ -162,7 +162,7 @@
 
 auto Resolve::apply(Call& call) const -> Result<void>
 {
-    if (call.kind == StartOrder::Kind::Service)
+    if (call.kind == AttemptRequest::Kind::Service)
         return {};
     BOOST_LEAF_AUTO(
         model, call.configuration->resolve(call.body["model"].get_ref<const std::string&>(), call.caller.member));
@@ -173,7 +173,7 @@
 
 auto Authorize::apply(Call& call) const -> Result<void>
 {
-    if (call.kind == StartOrder::Kind::Service) {
+    if (call.kind == AttemptRequest::Kind::Service) {
         const auto* service = call.configuration->service(call.service);
         if (!service || !service->allowed.contains(call.caller.member))
             return fail(Error(
--- a/packages/router/target/Attempt.h
+++ b/packages/router/target/Attempt.h
@@ -11,14 +11,15 @@
 public:
     enum class State { Queued, Running, Ended };
 
-    Attempt(wire::MainLoop& loop, StartOrder start, Moment at)
-        : order(std::move(start))
+    Attempt(wire::MainLoop& loop, AttemptRequest start, Moment at)
+        : request(std::move(start))
         , acceptedAt(at)
-        , output(loop, order.neverRepeat ? AttemptOutput::Keep::UntilReleased : AttemptOutput::Keep::UntilAcknowledged)
+        , output(
+              loop, request.neverRepeat ? AttemptOutput::Keep::UntilReleased : AttemptOutput::Keep::UntilAcknowledged)
     {
     }
 
-    const StartOrder order;
+    const AttemptRequest request;
     const Moment acceptedAt;
     State state = State::Queued;
     /// When the request first had to wait for a load; unset if its adapter was there.
--- a/packages/router/target/Runner.cpp
+++ b/packages/router/target/Runner.cpp
@@ -17,9 +17,9 @@
 // The engine died, or forgot a stream that it had.
 constexpr auto lostType = "engine_lost";
 
-auto promptOf(const StartOrder& order, const Json& body) -> std::string
+auto promptOf(const AttemptRequest& request, const Json& body) -> std::string
 {
-    if (order.kind == StartOrder::Kind::Completion)
+    if (request.kind == AttemptRequest::Kind::Completion)
         return body.value("prompt", "");
     auto prompt = std::string();
     for (const auto& message : body.value("messages", Json::array()))
@@ -27,17 +27,17 @@
     return prompt;
 }
 
-auto completionOrder(const StartOrder& order) -> targets::CompletionOrder
+auto completionOrder(const AttemptRequest& request) -> targets::CompletionOrder
 {
-    const auto body = Json::parse(order.body, nullptr, false);
+    const auto body = Json::parse(request.body, nullptr, false);
     auto completion = targets::CompletionOrder {
-        .attempt = order.attempt,
-        .model = order.model,
-        .prompt = promptOf(order, body),
+        .attempt = request.attempt,
+        .model = request.model,
+        .prompt = promptOf(request, body),
         .maxTokens = body.value("max_tokens", defaultMaxTokens),
-        .skipTokens = order.skipTokens,
-        .givenText = order.givenText,
-        .cacheSalt = order.member.str(),
+        .skipTokens = request.skipTokens,
+        .givenText = request.givenText,
+        .cacheSalt = request.member.str(),
     };
     for (const auto* name : { "temperature", "top_p", "seed", "stop", "presence_penalty", "frequency_penalty" }) {
         if (body.contains(name))
@@ -66,7 +66,7 @@
 
 auto EngineRunner::run(const AttemptPtr& attempt, Epoch epoch) -> kj::Promise<void>
 {
-    return engine_.complete(completionOrder(attempt->order), epoch)
+    return engine_.complete(completionOrder(attempt->request), epoch)
         .then([this, attempt](kj::Own<targets::CompletionStream> stream) { return begin(attempt, kj::mv(stream), 0); },
             [this, attempt](kj::Exception&& broken) -> kj::Promise<void> {
                 if (!wire::neverReached(broken))
@@ -86,7 +86,7 @@
 
 auto EngineRunner::adopt(const AttemptPtr& attempt) -> kj::Promise<void>
 {
-    return engine_.resume(attempt->order.attempt, attempt->order.model, attempt->output.tokens())
+    return engine_.resume(attempt->request.attempt, attempt->request.model, attempt->output.tokens())
         .then([this, attempt](kj::Own<targets::CompletionStream> stream) { return begin(attempt, kj::mv(stream), 1); },
             [this, attempt](kj::Exception&& broken) { return resume(attempt, 2, broken.getDescription().cStr()); });
 }
@@ -147,7 +147,7 @@
 auto EngineRunner::resume(const AttemptPtr& attempt, int resumes, std::string reason) -> kj::Promise<void>
 {
     log::warn("engine stream broke",
-        { { "step", "engine" }, { "attempt", attempt->order.attempt.str() }, { "reason", reason } });
+        { { "step", "engine" }, { "attempt", attempt->request.attempt.str() }, { "reason", reason } });
     if (resumes > maxResumes) {
         lookAtEngine();
         const auto run = attempt->output.tokens() > 0 ? RunState::Partial : RunState::Unknown;
@@ -156,7 +156,7 @@
     }
     return loop_.sleep(resumeDelay)
         .then([this, attempt] {
-            return engine_.resume(attempt->order.attempt, attempt->order.model, attempt->output.tokens());
+            return engine_.resume(attempt->request.attempt, attempt->request.model, attempt->output.tokens());
         })
         .then([this, attempt, resumes](
                   kj::Own<targets::CompletionStream> stream) { return begin(attempt, kj::mv(stream), resumes); },
@@ -166,9 +166,9 @@
 
 auto ServiceRunner::run(const AttemptPtr& attempt, Epoch) -> kj::Promise<void>
 {
-    const auto& order = attempt->order;
-    auto call = targets::ServiceCall { order.attempt, order.method, order.path, order.contentType, order.body,
-        order.neverRepeat };
+    const auto& request = attempt->request;
+    auto call = targets::ServiceCall { request.attempt, request.method, request.path, request.contentType, request.body,
+        request.neverRepeat };
     return service_.call(std::move(call))
         .then([this, attempt](kj::Own<wire::HttpStream> stream) {
             attempt->output.appendHead(stream->status(), stream->header("Content-Type"));
--- a/packages/router/target/Runner.h
+++ b/packages/router/target/Runner.h
@@ -22,7 +22,7 @@
         runner.adopt(attempt)
         } -> std::same_as<kj::Promise<void>>;
     {
-        runner.knows(attempt->order.attempt, attempt->order.model)
+        runner.knows(attempt->request.attempt, attempt->request.model)
         } -> std::same_as<kj::Promise<bool>>;
 };
 
@@ -42,7 +42,7 @@
     [[nodiscard]] auto knows(AttemptId attempt, ModelName model) -> kj::Promise<bool>;
     /// Told when the engine lacks an adapter or a stream that it should have.
     auto onMissing(std::function<void()> callback) -> void { onMissing_ = std::move(callback); }
-    auto cancel(const AttemptPtr& attempt) -> kj::Promise<void> { return engine_.cancel(attempt->order.attempt); }
+    auto cancel(const AttemptPtr& attempt) -> kj::Promise<void> { return engine_.cancel(attempt->request.attempt); }
 
 private:
     using StreamPtr = std::shared_ptr<kj::Own<targets::CompletionStream>>;
--- a/tests/unit/Metrics.cpp
+++ b/tests/unit/Metrics.cpp
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(shares_and_counts_are_on_the_page)
 {
     auto metrics = Metrics(10);
-    metrics.observeShare("eelgrass_batch_fill", 0.55);
+    metrics.observeRatio("eelgrass_batch_fill", 0.55);
     metrics.count("eelgrass_refusals_total", { { "type", "queue_full" } });
     BOOST_TEST(contains(metrics, R"(eelgrass_batch_fill_bucket{le="0.6"} 1)"));
     BOOST_TEST(contains(metrics, R"(eelgrass_refusals_total{type="queue_full"} 1)"));
