--- a/packages/serving/AgentLink.cpp
+++ b/packages/serving/AgentLink.cpp
@@ -171,7 +171,7 @@
 {
     log::info("agent detached", { { "peer", endpoint_.str() } });
     phase_ = Phase::Closed;
-    state_.at = {};
+    state_.receivedAt = {};
     dropSession();
 }
 
@@ -186,7 +186,7 @@
     if (session_ && session_->client != nullptr)
         log::warn("agent lost", { { "peer", endpoint_.str() }, { "reason", reason } });
     phase_ = Phase::Backoff;
-    state_.at = {};
+    state_.receivedAt = {};
     for (auto& pending : std::exchange(pendingOpens_, {}))
         pending->reject(KJ_EXCEPTION(DISCONNECTED, "agent unreachable"));
     // Not from within one of the session's own callbacks.
@@ -210,18 +210,18 @@
 
 auto AgentLink::alive() const -> bool
 {
-    return session_ && session_->client != nullptr && state_.at != Moment()
-        && loop_.timers().now() - state_.at < (caller_.near ? nearSilence : farSilence);
+    return session_ && session_->client != nullptr && state_.receivedAt != Moment()
+        && loop_.timers().now() - state_.receivedAt < (caller_.sameZone ? nearSilence : farSilence);
 }
 
-auto AgentLink::answers(Moment asked) const -> bool
+auto AgentLink::isResponsive(Moment asked) const -> bool
 {
-    return alive() && (state_.at >= asked || loop_.timers().now() - asked < answerLimit);
+    return alive() && (state_.receivedAt >= asked || loop_.timers().now() - asked < answerLimit);
 }
 
 auto AgentLink::stateAge() const -> Duration
 {
-    return std::min(loop_.timers().now() - state_.at, caller_.near ? nearAge : farAge);
+    return std::min(loop_.timers().now() - state_.receivedAt, caller_.sameZone ? nearAge : farAge);
 }
 
 auto AgentLink::learn(wire::schema::ReplicaState::Reader state) -> void
@@ -244,14 +244,14 @@
     state_.spareSlots = state.getSpareSlots();
     state_.loadsWaiting = state.getLoadsWaiting();
     state_.readRate = static_cast<double>(state.getReadRate()) / thousand;
-    state_.failures = static_cast<double>(state.getFailures()) / thousand;
+    state_.failureShare = static_cast<double>(state.getFailures()) / thousand;
     state_.entries = state.getEntries();
-    state_.at = loop_.timers().now();
+    state_.receivedAt = loop_.timers().now();
 }
 
 auto AgentLink::learnNames(wire::schema::ReplicaState::Reader state) -> void
 {
-    state_.start = { InstanceId(state.getInstance().cStr()), Birth(state.getBirth()) };
+    state_.start = { InstanceId(state.getInstance().cStr()), StartTime(state.getBirth()) };
     state_.resident.clear();
     for (auto adapter : state.getResident())
         state_.resident.emplace(AdapterName(adapter.getName().cStr()), AdapterVersion(adapter.getVersion()));
@@ -266,7 +266,7 @@
         state_.suspects.emplace(suspect.getDigest().cStr(), suspect.getBreaks());
 }
 
-auto AgentLink::admit(const AdmitOrder& order) -> kj::Promise<AdmitResult>
+auto AgentLink::admit(const AgentAdmissionRequest& order) -> kj::Promise<AdmitResult>
 {
     usedAt_ = loop_.timers().now();
     if (!session_)
@@ -285,15 +285,15 @@
         }
         request.setOutputTokens(order.outputTokens);
         request.setPriority(order.priority);
-        request.setAimMs(static_cast<std::uint32_t>(order.untilLate.count()));
-        request.setLeftMs(static_cast<std::uint32_t>(order.untilGone.count()));
+        request.setAimMs(static_cast<std::uint32_t>(order.timeUntilLate.count()));
+        request.setLeftMs(static_cast<std::uint32_t>(order.timeUntilGiveUp.count()));
         request.setElsewhere(order.elsewhere);
         return call.send().then([this, order, alive = alive_](auto&& response) {
             const auto answer = response.getAnswer();
             if (*alive && answer.getGranted())
                 granted_.emplace(order.attempt, order);
             // Names come first, by an update of the agent: without them there is no replica that the figures are of.
-            if (*alive && state_.at != Moment() && answer.hasState()) {
+            if (*alive && state_.receivedAt != Moment() && answer.hasState()) {
                 learnFigures(answer.getState());
                 hooks_.onFigures();
             }
@@ -328,7 +328,7 @@
     }
 }
 
-auto AgentLink::suspect(const std::string& digest, bool broke) -> void
+auto AgentLink::reportSuspect(const std::string& digest, bool broke) -> void
 {
     if (!session_)
         return;
@@ -340,10 +340,10 @@
     }
 }
 
-auto AgentLink::takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaVerdict>
+auto AgentLink::takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaDecision>
 {
     if (!alive() && mayOpen()) {
-        return open().then([this, charge, alive = alive_]() -> kj::Promise<QuotaVerdict> {
+        return open().then([this, charge, alive = alive_]() -> kj::Promise<QuotaDecision> {
             if (!*alive)
                 return KJ_EXCEPTION(DISCONNECTED, "the agent was removed");
             return takeQuota(charge);
@@ -356,7 +356,7 @@
         auto call = client->takeQuotaRequest();
         fill(call.initCharge(), charge);
         return call.send().then([](auto&& answer) {
-            return QuotaVerdict { answer.getGranted(), milliseconds(answer.getRetryAfterMs()), answer.getLevel() };
+            return QuotaDecision { answer.getGranted(), milliseconds(answer.getRetryAfterMs()), answer.getLevel() };
         });
     }
     return KJ_EXCEPTION(DISCONNECTED, "no session with the agent");
--- a/packages/serving/AgentLink.h
+++ b/packages/serving/AgentLink.h
@@ -35,7 +35,7 @@
     /// Prompt tokens that it reads in a millisecond.
     double readRate = 0;
     /// Share of the last requests that failed or broke off there, whoever sent them.
-    double failures = 0;
+    double failureShare = 0;
     /// The highest configuration that any entry told it of, and the entry to ask for it.
     ConfigVersion configVersion;
     std::string configHolder;
@@ -45,11 +45,11 @@
     std::size_t entries = 0;
     /// How often requests broke off at replicas, by their digests, as all entries told this agent.
     std::map<std::string, std::uint32_t> suspects;
-    Moment at {};
+    Moment receivedAt {};
 };
 
 /// A request for a place at a replica.
-struct AdmitOrder {
+struct AgentAdmissionRequest {
     AttemptId attempt;
     AdapterName adapter;
     AdapterVersion version;
@@ -58,8 +58,8 @@
     Tokens outputTokens = 0;
     std::uint32_t priority = 5;
     /// Until the first event is late, and until nobody waits for it.
-    milliseconds untilLate { 0 };
-    milliseconds untilGone { 0 };
+    milliseconds timeUntilLate { 0 };
+    milliseconds timeUntilGiveUp { 0 };
     /// Another replica can be asked, should it be late at this one.
     bool elsewhere = false;
 };
@@ -84,7 +84,7 @@
     decisions::QuotaRate rate;
 };
 
-struct QuotaVerdict {
+struct QuotaDecision {
     bool granted = false;
     milliseconds retryAfter { 0 };
     /// What is left for others.
@@ -114,7 +114,7 @@
     struct Caller {
         std::string entry;
         AvailabilityZone zone {};
-        bool near = true;
+        bool sameZone = true;
     };
 
     AgentLink(wire::MainLoop& loop, Endpoint endpoint, Caller caller, Hooks hooks);
@@ -123,7 +123,7 @@
 
     /// Opens the session if the policy is persistent, and lets it be closed when idle otherwise.
     auto setSessionPolicy(decisions::SessionPolicy policy) -> void;
-    [[nodiscard]] auto hub() const noexcept -> bool { return policy_ == decisions::SessionPolicy::Hub; }
+    [[nodiscard]] auto isHub() const noexcept -> bool { return policy_ == decisions::SessionPolicy::Hub; }
     /// Whether it can be asked now.
     [[nodiscard]] auto alive() const -> bool;
     /// Whether `open` may succeed: the session is on demand, and closed or opening within its time limit.
@@ -132,23 +132,23 @@
     [[nodiscard]] auto open() -> kj::Promise<void>;
     /// Drops a session that is still opening when the caller's timeout expires.
     auto abandonOpening() -> void;
-    [[nodiscard]] auto near() const noexcept -> bool { return caller_.near; }
+    [[nodiscard]] auto inSameZone() const noexcept -> bool { return caller_.sameZone; }
     /// Whether it said something after `asked`, or still has time to. An agent tells whoever asks it of its figures
     /// within half a second, also while the request waits; one that does not is frozen or cut off.
-    [[nodiscard]] auto answers(Moment asked) const -> bool;
+    [[nodiscard]] auto isResponsive(Moment asked) const -> bool;
     /// It did not answer: it is not asked again before its next update.
-    auto doubt() -> void { state_.at = {}; }
+    auto markUnresponsive() -> void { state_.receivedAt = {}; }
     /// By how much its figures may be wrong: it tells what matters within that.
     [[nodiscard]] auto stateAge() const -> Duration;
     [[nodiscard]] auto state() const noexcept -> const ReplicaSnapshot& { return state_; }
     /// Rejects when the session is lost; drop the promise and call `release` to take the request back.
-    [[nodiscard]] auto admit(const AdmitOrder& order) -> kj::Promise<AdmitResult>;
+    [[nodiscard]] auto admit(const AgentAdmissionRequest& order) -> kj::Promise<AdmitResult>;
     auto started(const AttemptId& attempt) -> void;
     auto release(const AttemptId& attempt, RunEnd end = RunEnd::Plain) -> void;
     /// A request of this digest broke off at a replica, or ran to its end after it had.
-    auto suspect(const std::string& digest, bool broke) -> void;
+    auto reportSuspect(const std::string& digest, bool broke) -> void;
     /// Counts a request against its member's quota, if there is credit. Rejects when the session is lost.
-    [[nodiscard]] auto takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaVerdict>;
+    [[nodiscard]] auto takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaDecision>;
     /// Another agent granted it and had `level` left, or it is given back.
     auto noteQuota(const QuotaCharge& charge, double level) -> void;
     [[nodiscard]] auto endpoint() const noexcept -> const Endpoint& { return endpoint_; }
@@ -199,7 +199,7 @@
     std::unique_ptr<Session> session_;
     kj::Maybe<kj::Promise<void>> work_;
     ReplicaSnapshot state_;
-    std::map<AttemptId, AdmitOrder> granted_;
+    std::map<AttemptId, AgentAdmissionRequest> granted_;
     EntryNotice notice_;
     decisions::SessionPolicy policy_ = decisions::SessionPolicy::OnDemand;
     Phase phase_ = Phase::Closed;
--- a/packages/serving/AgentOrders.cpp
+++ b/packages/serving/AgentOrders.cpp
@@ -107,7 +107,7 @@
 {
     ordering_ = true;
     order.precondition = report_->sequence;
-    order.birth = report_->birth;
+    order.startTime = report_->startTime;
     order.holder = settings_.host.name;
     order.fence = orderFence();
     const auto name = modelName(order.adapter);
@@ -135,7 +135,7 @@
     const auto now = loop_.timers().now();
     const auto counted = outcome == hosting::OrderOutcome::Accepted || outcome == hosting::OrderOutcome::Holds;
     // What an earlier start accepted says nothing of this one, which counts anew.
-    const auto current = report_ && order.birth == report_->birth;
+    const auto current = report_ && order.startTime == report_->startTime;
     if (counted && current) {
         report_->sequence = std::max(report_->sequence, order.precondition + 1);
         orderedAt_ = now;
--- a/packages/serving/AgentRole.cpp
+++ b/packages/serving/AgentRole.cpp
@@ -329,7 +329,7 @@
 
 auto AgentRole::namesText() const -> std::string
 {
-    auto text = agent_.instance().str() + "|" + std::to_string(agent_.birth().value()) + "|"
+    auto text = agent_.instance().str() + "|" + std::to_string(agent_.startTime().value()) + "|"
         + std::to_string(configVersion_.value()) + "|" + configHolder_ + "|" + reader();
     for (const auto& [adapter, version] : agent_.resident())
         text.append("|").append(adapter.str()).append("@").append(std::to_string(version.value()));
@@ -343,7 +343,7 @@
 auto AgentRole::fillNames(wire::schema::ReplicaState::Builder state) const -> void
 {
     state.setInstance(agent_.instance().str());
-    state.setBirth(agent_.birth().value());
+    state.setBirth(agent_.startTime().value());
     const auto resident = agent_.resident();
     auto list = state.initResident(static_cast<unsigned>(resident.size()));
     auto index = 0U;
--- a/packages/serving/GatewayRole.cpp
+++ b/packages/serving/GatewayRole.cpp
@@ -182,7 +182,7 @@
     for (const auto& [instance, replica] : directory_.all()) {
         const auto* agent = replica->agent();
         const auto reader
-            = agent && agent->hub() && agent->alive() ? parseEndpoint(agent->state().reader) : std::nullopt;
+            = agent && agent->isHub() && agent->alive() ? parseEndpoint(agent->state().reader) : std::nullopt;
         if (reader && std::find(peers.begin(), peers.end(), *reader) == peers.end())
             peers.push_back(*reader);
     }
@@ -247,7 +247,7 @@
     auto votes = std::map<std::string, std::size_t>();
     for (const auto& [instance, replica] : directory_.all()) {
         const auto* agent = replica->agent();
-        if (agent && agent->hub() && agent->near() && agent->alive() && !agent->state().reader.empty())
+        if (agent && agent->isHub() && agent->inSameZone() && agent->alive() && !agent->state().reader.empty())
             ++votes[agent->state().reader];
     }
     const auto chosen = std::max_element(
--- a/packages/serving/MemberQuotas.cpp
+++ b/packages/serving/MemberQuotas.cpp
@@ -27,7 +27,7 @@
 {
 }
 
-auto MemberQuotas::chargeFor(const MemberRecord& member, ConfigVersion version, const RequestFacts& facts) const
+auto MemberQuotas::chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& facts) const
     -> std::optional<QuotaCharge>
 {
     const auto& quota = member.quota;
@@ -36,7 +36,7 @@
     const auto tokens = static_cast<double>(facts.promptTokens + facts.outputTokens);
     const auto window = std::chrono::duration<double>(bounds_.window).count();
     const auto most = quota.ratePerSecond * window + quota.burst;
-    const auto counted = tokens > 0 ? tokens : quota.plainTokens;
+    const auto counted = tokens > 0 ? tokens : quota.defaultTokens;
     return QuotaCharge { .member = member.name,
         .amount = quota.unit == Quota::Unit::Tokens ? counted : 1,
         .version = version,
@@ -74,21 +74,21 @@
     return boards;
 }
 
-auto MemberQuotas::ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaVerdict>>
+auto MemberQuotas::ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaDecision>>
 {
-    using Answer = kj::Maybe<QuotaVerdict>;
+    using Answer = kj::Maybe<QuotaDecision>;
     return board.takeQuota(charge)
-        .then([](QuotaVerdict&& verdict) -> Answer { return verdict; })
+        .then([](QuotaDecision&& verdict) -> Answer { return verdict; })
         .exclusiveJoin(loop_.sleep(answerLimit).then([]() -> Answer { return nullptr; }))
         .catch_([](kj::Exception&&) -> Answer { return nullptr; });
 }
 
-auto MemberQuotas::take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaVerdict>
+auto MemberQuotas::take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaDecision>
 {
     return askNext(charge, entries, 0);
 }
 
-auto MemberQuotas::askNext(QuotaCharge charge, std::size_t entries, std::size_t asked) -> kj::Promise<QuotaVerdict>
+auto MemberQuotas::askNext(QuotaCharge charge, std::size_t entries, std::size_t asked) -> kj::Promise<QuotaDecision>
 {
     const auto boards = asked < boardsOfMember ? boardsOf(charge.member) : Boards();
     if (boards.empty())
@@ -96,7 +96,7 @@
     const auto peer = boards.front()->endpoint();
     auto answer = ask(*boards.front(), charge);
     return answer.then([this, charge = std::move(charge), entries, asked, peer](
-                           kj::Maybe<QuotaVerdict>&& answer) mutable -> kj::Promise<QuotaVerdict> {
+                           kj::Maybe<QuotaDecision>&& answer) mutable -> kj::Promise<QuotaDecision> {
         KJ_IF_MAYBE (verdict, answer) {
             if (verdict->granted) {
                 for (auto* other : boardsOf(charge.member)) {
@@ -112,7 +112,7 @@
     });
 }
 
-auto MemberQuotas::takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaVerdict
+auto MemberQuotas::takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision
 {
     const auto now = loop_.timers().now();
     const auto sharing = static_cast<double>(std::max<std::size_t>(entries, 1));
--- a/packages/serving/MemberQuotas.h
+++ b/packages/serving/MemberQuotas.h
@@ -16,7 +16,7 @@
 /// neither grants its equal share of the limit.
 ///
 /// ```cpp
-/// quotas.take(charge, entries).then([](QuotaVerdict verdict) { ... });
+/// quotas.take(charge, entries).then([](QuotaDecision verdict) { ... });
 /// ```
 class MemberQuotas {
 public:
@@ -24,10 +24,10 @@
     KJ_DISALLOW_COPY(MemberQuotas);
 
     /// What a request counts; empty where its member has no limit.
-    [[nodiscard]] auto chargeFor(const MemberRecord& member, ConfigVersion version, const RequestFacts& facts) const
+    [[nodiscard]] auto chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& facts) const
         -> std::optional<QuotaCharge>;
     /// Never rejects. `entries` is how many share the limit, as far as is known.
-    [[nodiscard]] auto take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaVerdict>;
+    [[nodiscard]] auto take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaDecision>;
     /// The request was refused: it has not run.
     auto giveBack(QuotaCharge charge) -> void;
 
@@ -36,9 +36,10 @@
     /// The agents that count for that member, the deciding one first; two at the most.
     [[nodiscard]] auto boardsOf(const MemberId& member) const -> Boards;
     /// Asks one; an empty answer when it is silent or gone.
-    [[nodiscard]] auto ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaVerdict>>;
-    [[nodiscard]] auto askNext(QuotaCharge charge, std::size_t entries, std::size_t asked) -> kj::Promise<QuotaVerdict>;
-    [[nodiscard]] auto takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaVerdict;
+    [[nodiscard]] auto ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaDecision>>;
+    [[nodiscard]] auto askNext(QuotaCharge charge, std::size_t entries, std::size_t asked)
+        -> kj::Promise<QuotaDecision>;
+    [[nodiscard]] auto takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision;
 
     wire::MainLoop& loop_;
     const ReplicaDirectory& directory_;
--- a/packages/serving/Replica.cpp
+++ b/packages/serving/Replica.cpp
@@ -25,13 +25,13 @@
 {
 }
 
-auto Replica::sent(Tokens tokens) -> void
+auto Replica::requestSent(Tokens tokens) -> void
 {
     ++inFlight_;
     tokensSent_ += tokens;
 }
 
-auto Replica::ended() -> void
+auto Replica::requestEnded() -> void
 {
     if (inFlight_ > 0)
         --inFlight_;
@@ -54,7 +54,7 @@
     restsUntil_ = now + std::min(longestRest, shortestRest * (1U << doublings));
 }
 
-auto Replica::refused(Moment now) -> void { restsUntil_ = std::max(restsUntil_, now + restWhenFull); }
+auto Replica::reportedFull(Moment now) -> void { restsUntil_ = std::max(restsUntil_, now + restWhenFull); }
 
 auto Replica::usable(Moment now) const noexcept -> bool
 {
@@ -64,9 +64,9 @@
     return failures_ < failuresToRest || inFlight_ == 0;
 }
 
-auto Replica::outlived(const Birth& birth, std::uint64_t listVersion) -> bool
+auto Replica::confirmsNewerStart(const StartTime& startTime, std::uint64_t listVersion) -> bool
 {
-    if (birth > record_.start.birth)
+    if (startTime > record_.start.startTime)
         return true;
     // Replicas heartbeat about once a second, and late ones are a second or two late.
     constexpr auto rowsToBelieve = 3U;
--- a/packages/serving/Replica.h
+++ b/packages/serving/Replica.h
@@ -39,13 +39,13 @@
     /// can.
     [[nodiscard]] auto unreadable() const noexcept -> bool { return unreadable_; }
     auto setUnreadable(bool unreadable) -> void { unreadable_ = unreadable; }
-    auto heardOf() -> void { earlierBirths_ = 0; }
+    auto confirmCurrentStart() -> void { earlierBirths_ = 0; }
     /// When the store's list last named it; empty when only a peer's did.
     [[nodiscard]] auto listedAt() const noexcept -> std::optional<Moment> { return listedAt_; }
     auto setListedAt(Moment at) -> void { listedAt_ = std::max(listedAt_.value_or(at), at); }
     /// The list told of a start under its name with that birth. A late heartbeat of an earlier start may stand there
     /// until the next one; a birth that stays is of a newer start, on a host whose time of day has jumped back.
-    [[nodiscard]] auto outlived(const Birth& birth, std::uint64_t listVersion) -> bool;
+    [[nodiscard]] auto confirmsNewerStart(const StartTime& startTime, std::uint64_t listVersion) -> bool;
     /// The store has a newer entry at its address: this start of the replica is over, or its list entry is old.
     [[nodiscard]] auto superseded() const noexcept -> bool { return superseded_; }
     auto setSuperseded(bool superseded) -> void { superseded_ = superseded; }
@@ -54,26 +54,29 @@
     auto setListVersion(std::uint64_t version) -> void { listVersion_ = std::max(listVersion_, version); }
 
     /// A request was sent.
-    auto sent(Tokens tokens) -> void;
-    auto ended() -> void;
+    auto requestSent(Tokens tokens) -> void;
+    auto requestEnded() -> void;
     [[nodiscard]] auto inFlight() const noexcept -> std::size_t { return inFlight_; }
     /// The agent spoke: what was sent before is in its figures.
-    auto reported() -> void
+    auto agentReported() -> void
     {
         tokensSent_ = 0;
-        loadsAsked_.clear();
+        loadsRequested_.clear();
     }
     [[nodiscard]] auto tokensSent() const noexcept -> Tokens { return tokensSent_; }
     /// A request was sent for admission whose adapter is not there.
-    auto askedLoad(const AdapterName& adapter) -> void { loadsAsked_.insert(adapter); }
-    [[nodiscard]] auto hasAskedLoad(const AdapterName& adapter) const -> bool { return loadsAsked_.contains(adapter); }
-    [[nodiscard]] auto loadsAsked() const noexcept -> std::size_t { return loadsAsked_.size(); }
+    auto noteLoadRequested(const AdapterName& adapter) -> void { loadsRequested_.insert(adapter); }
+    [[nodiscard]] auto hasRequestedLoad(const AdapterName& adapter) const -> bool
+    {
+        return loadsRequested_.contains(adapter);
+    }
+    [[nodiscard]] auto loadsRequested() const noexcept -> std::size_t { return loadsRequested_.size(); }
 
     /// The replica answered well after `took`, or failed; see `usable`.
     auto succeeded(Duration took) -> void;
     auto failed(Moment now) -> void;
     /// It said that it is full.
-    auto refused(Moment now) -> void;
+    auto reportedFull(Moment now) -> void;
     /// False while it rests after failures; then one request at a time tries it.
     [[nodiscard]] auto usable(Moment now) const noexcept -> bool;
     [[nodiscard]] auto meanTime() const noexcept -> Duration { return meanTime_; }
@@ -84,7 +87,7 @@
     /// Whether the replica held the adapter not long ago, so that its weights are still at hand there.
     [[nodiscard]] auto warm(const AdapterName& adapter) const -> bool { return latelyHeld_.contains(adapter); }
     /// Notes what the replica holds now; remembers the last `most`.
-    auto holding(const std::map<AdapterName, AdapterVersion>& adapters, std::size_t most) -> void
+    auto noteResidentAdapters(const std::map<AdapterName, AdapterVersion>& adapters, std::size_t most) -> void
     {
         latelyHeld_.note(adapters, most);
     }
@@ -108,7 +111,7 @@
     std::size_t inFlight_ = 0;
     Tokens tokensSent_ = 0;
     /// Adapters that this entry asked for there since the agent spoke.
-    std::set<AdapterName> loadsAsked_;
+    std::set<AdapterName> loadsRequested_;
     std::uint32_t failures_ = 0;
     Moment restsUntil_ {};
     Duration meanTime_ {};
--- a/packages/serving/ReplicaAgent.cpp
+++ b/packages/serving/ReplicaAgent.cpp
@@ -190,8 +190,8 @@
 {
     if (!report_)
         return false;
-    if (read.birth != Birth() && report_->birth != Birth())
-        return read.birth != report_->birth;
+    if (read.startTime != StartTime() && report_->startTime != StartTime())
+        return read.startTime != report_->startTime;
     // Where no birth is told: fewer orders than before, for longer than a report may lag behind the last order.
     return read.sequence < report_->sequence && loop_.timers().now() - orderedAt_ >= reportLag;
 }
@@ -238,7 +238,7 @@
 auto ReplicaAgent::forgetReplica(std::string_view why) -> void
 {
     log::warn("replica lost",
-        { { "replica", instance_.str() }, { "birth", std::to_string(birth().value()) },
+        { { "replica", instance_.str() }, { "birth", std::to_string(startTime().value()) },
             { "reason", std::string(why) } });
     ++startsSeen_;
     report_.reset();
--- a/packages/serving/ReplicaAgent.h
+++ b/packages/serving/ReplicaAgent.h
@@ -67,7 +67,7 @@
     [[nodiscard]] auto failureShare() const -> double { return breaker_.failureShare(loop_.timers().now()); }
     [[nodiscard]] auto instance() const noexcept -> const InstanceId& { return instance_; }
     /// When the replica started, as its last report says.
-    [[nodiscard]] auto birth() const noexcept -> Birth { return report_ ? report_->birth : Birth(); }
+    [[nodiscard]] auto startTime() const noexcept -> StartTime { return report_ ? report_->startTime : StartTime(); }
     [[nodiscard]] auto queue() const noexcept -> const decisions::AdmissionQueue& { return queue_; }
     [[nodiscard]] auto resident() const -> std::map<AdapterName, AdapterVersion>;
     /// Adapters that are wanted and not there, by name.
--- a/packages/serving/ReplicaDirectory.cpp
+++ b/packages/serving/ReplicaDirectory.cpp
@@ -187,7 +187,7 @@
 {
     if (logEachReplica_) {
         log::info("replica known",
-            { { "replica", record.start.instance.str() }, { "birth", std::to_string(record.start.birth.value()) },
+            { { "replica", record.start.instance.str() }, { "birth", std::to_string(record.start.startTime.value()) },
                 { "service", record.service.str() }, { "peer", record.endpoint.str() },
                 { "source", std::string(source) } });
     }
@@ -216,7 +216,7 @@
         return;
     // The earlier start is over, whatever it was doing: requests that run there see that it is leaving.
     if (replica && !sameStart(replica->record().start, read->start)) {
-        if (!replica->outlived(read->start.birth, listed.version))
+        if (!replica->confirmsNewerStart(read->start.startTime, listed.version))
             return;
         remove(ReplicaPtr(replica), "started again");
     }
@@ -238,7 +238,7 @@
     unreadable_.erase(listed.instance);
     texts_[listed.instance] = listed;
     current->setUnreadable(false);
-    current->heardOf();
+    current->confirmCurrentStart();
     holders_.note(current, fresh ? AdapterVersions() : current->record().adapters, read->adapters);
     current->update(std::move(*read));
     current->setListVersion(listed.version);
@@ -328,17 +328,17 @@
                                             const auto held = weak.lock();
                                             if (!held)
                                                 return;
-                                            held->reported();
-                                            held->holding(held->agent()->state().resident, mostWarm);
+                                            held->agentReported();
+                                            held->noteResidentAdapters(held->agent()->state().resident, mostWarm);
                                             hooks_.onState(held->agent()->state());
                                         },
         .onFigures =
             [weak] {
                 if (const auto held = weak.lock())
-                    held->reported();
+                    held->agentReported();
             } };
     const auto caller = AgentLink::Caller {
-        .entry = options_.entry, .zone = options_.zone, .near = replica->record().zone == options_.zone
+        .entry = options_.entry, .zone = options_.zone, .sameZone = replica->record().zone == options_.zone
     };
     replica->setAgent(std::make_unique<AgentLink>(
         loop_, Endpoint { replica->record().endpoint.address, options_.agentPort }, caller, std::move(hooks)));
--- a/packages/serving/RequestAnswer.cpp
+++ b/packages/serving/RequestAnswer.cpp
@@ -100,14 +100,14 @@
 auto RequestRun::onDone() -> void
 {
     const auto self = shared_from_this();
-    const auto facts = hosting::readAnswer(head_, facts_.attempt);
+    const auto facts = hosting::readAnswerMetadata(head_, facts_.attempt);
     const auto now = gateway_.now();
     silence_.cancel();
     if (facts.notRun) {
         if (facts.otherInstance && !facts.instance.empty() && facts.instance != replica_->id())
             gateway_.directory.gone(replica_->id(), "another instance has its address");
         else if (!facts.otherInstance)
-            replica_->refused(now);
+            replica_->reportedFull(now);
         leaveReplica(true);
         return onNotRun(head_.status == unavailable ? "replica full" : "replica did not run it");
     }
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -61,24 +61,24 @@
             return view;
         // Assumed idle; its agent reports at once if it is not. Ranked lower, each entry would load the adapter on
         // whichever replicas it has sessions with.
-        view.loading = replica->hasAskedLoad(facts_.adapter);
+        view.loading = replica->hasRequestedLoad(facts_.adapter);
         view.warm = replica->warm(facts_.adapter);
         view.spareSlots = 1;
         view.tokensAhead = replica->tokensSent();
-        view.loadsWaiting = replica->loadsAsked();
+        view.loadsWaiting = replica->loadsRequested();
         return view;
     }
     const auto& state = agent->state();
     view.running = std::max(state.running, replica->inFlight());
     view.holds = facts_.adapter.empty() || state.resident.contains(facts_.adapter);
-    view.loading = state.loading.contains(facts_.adapter) || replica->hasAskedLoad(facts_.adapter);
+    view.loading = state.loading.contains(facts_.adapter) || replica->hasRequestedLoad(facts_.adapter);
     view.warm = replica->warm(facts_.adapter);
     view.tokensAhead = state.tokensAhead + replica->tokensSent();
     view.tokensWaiting = state.tokensWaiting;
     view.spareSlots = state.spareSlots;
     view.age = agent->stateAge();
-    view.failures = state.failures;
-    view.loadsWaiting = state.loadsWaiting + replica->loadsAsked();
+    view.failures = state.failureShare;
+    view.loadsWaiting = state.loadsWaiting + replica->loadsRequested();
     return view;
 }
 
@@ -124,7 +124,7 @@
         .unreadTokens = facts_.promptTokens - std::min(facts_.promptTokens, sharedTokens()),
         .sharedTokens = sharedTokens(),
         .sharedId = sharedId,
-        .pauseLimit = route_->pauseAim,
+        .pauseLimit = route_->eventGapTarget,
         .zonePenalty = zonePenalty() };
     const auto chosen = decisions::chooseReplica(views, need);
     if (!chosen)
@@ -210,18 +210,18 @@
     auto* agent = replica_->agent();
     const auto left
         = [&](Moment at) { return std::max(std::chrono::duration_cast<milliseconds>(at - now), milliseconds(0)); };
-    auto order = AdmitOrder { .attempt = facts_.attempt,
+    auto order = AgentAdmissionRequest { .attempt = facts_.attempt,
         .adapter = facts_.adapter,
         .version = gateway_.configuration.versionOf(facts_.model, facts_.adapter),
         .promptTokens = facts_.promptTokens,
         .shared = shared_,
         .outputTokens = facts_.outputTokens,
         .priority = urgency(),
-        .untilLate = left(firstEventSeen_ ? now + Duration(route_->pauseAim) : lateAt_),
-        .untilGone = left(firstEventSeen_ ? std::min(endAt_, lastTold_ + patience(*route_)) : firstBy_),
+        .timeUntilLate = left(firstEventSeen_ ? now + Duration(route_->eventGapTarget) : lateAt_),
+        .timeUntilGiveUp = left(firstEventSeen_ ? std::min(endAt_, lastTold_ + patience(*route_)) : firstBy_),
         .elsewhere = sentOn_ < mostSentOn && !late_.contains(replica_->id()) };
     if (!facts_.adapter.empty() && !agent->state().resident.contains(facts_.adapter))
-        replica_->askedLoad(facts_.adapter);
+        replica_->noteLoadRequested(facts_.adapter);
     grantedBy_ = agent;
     askedAt_ = now;
     // Answered from the loop: the run may end over the answer, and a promise must not be destroyed within its own call.
@@ -246,9 +246,9 @@
 {
     if (replica_->leaving())
         return abandonAdmission("replica leaving");
-    if (replica_->agent()->answers(askedAt_))
+    if (replica_->agent()->isResponsive(askedAt_))
         return;
-    replica_->agent()->doubt();
+    replica_->agent()->markUnresponsive();
     abandonAdmission("agent silent");
 }
 
--- a/packages/serving/RequestRun.cpp
+++ b/packages/serving/RequestRun.cpp
@@ -14,7 +14,7 @@
 using namespace detail;
 
 /// All parts but the last are shared; the last one belongs to the request or its session.
-auto sharedPrefixes(const RequestFacts& facts) -> std::vector<decisions::SharedPrefix>
+auto sharedPrefixes(const RequestMetadata& facts) -> std::vector<decisions::SharedPrefix>
 {
     auto prefixes = std::vector<decisions::SharedPrefix>();
     auto prefix = decisions::SharedPrefix { XXH3_64bits(facts.adapter.str().data(), facts.adapter.str().size()) };
@@ -63,7 +63,7 @@
 
 auto RequestRun::readRequest() -> bool
 {
-    auto facts = hosting::readFacts(request_);
+    auto facts = hosting::readRequestMetadata(request_);
     if (facts)
         facts_ = std::move(*facts);
     if (!configuration_ || !gateway_.directory.known()) {
@@ -91,7 +91,7 @@
     const auto deadline = facts_.deadline ? Duration(*facts_.deadline) - answerMargin : timeout;
     endAt_ = beganAt_ + std::min(timeout, deadline);
     firstBy_ = route_->streamed ? std::min(endAt_, beganAt_ + patience(*route_)) : endAt_;
-    lateAt_ = beganAt_ + Duration(route_->aim);
+    lateAt_ = beganAt_ + Duration(route_->latencyTarget);
     shared_ = sharedPrefixes(facts_);
     return true;
 }
@@ -99,7 +99,7 @@
 auto RequestRun::authenticate() -> bool
 {
     const auto& members = gateway_.configuration.members();
-    if (route_->open || members.empty())
+    if (route_->isPublic || members.empty())
         return true;
     // What is not known to be in force says nothing, neither for a key nor against it.
     if (!gateway_.configuration.keysHold()) {
@@ -149,7 +149,7 @@
         return place();
     // Answered from the loop, as an admission is.
     admission_ = gateway_.quotas.take(*charge, gateway_.entries)
-                     .then([this, charge = *charge](QuotaVerdict&& verdict) {
+                     .then([this, charge = *charge](QuotaDecision&& verdict) {
                          gateway_.deferred.add(
                              [self = shared_from_this(), charge, verdict] { self->quotaAnswered(charge, verdict); });
                      })
@@ -158,7 +158,7 @@
                      });
 }
 
-auto RequestRun::quotaAnswered(const QuotaCharge& charge, const QuotaVerdict& verdict) -> void
+auto RequestRun::quotaAnswered(const QuotaCharge& charge, const QuotaDecision& verdict) -> void
 {
     if (over_) {
         if (verdict.granted)
@@ -214,17 +214,18 @@
     if (member_)
         options.member = member_->name;
     if (told_ == Told::Streaming)
-        options.lastEvent = lastEvent_;
+        options.lastEventId = lastEvent_;
     const auto fields = hosting::forwardedFields(request_, options);
     const auto head = wire::requestHeadText(request_.method, request_.target, fields, request_.body.size());
-    replica_->sent(facts_.promptTokens);
+    replica_->requestSent(facts_.promptTokens);
     if (replica_->agent())
         replica_->prompts().remember(shared_);
     logDecision("sent", {});
     armSilence();
     connection_->send(head, request_.body,
-        [attempt = facts_.attempt](
-            const wire::HttpResponseHead& answer) { return !hosting::readAnswer(answer, attempt).foreign; },
+        [attempt = facts_.attempt](const wire::HttpResponseHead& answer) {
+            return !hosting::readAnswerMetadata(answer, attempt).forOtherAttempt;
+        },
         { .onHead = [this](const wire::HttpResponseHead& answer) { onHead(answer); },
             .onBody = [this](std::string_view bytes) { onBody(bytes); },
             .onDone = [this] { onDone(); },
@@ -255,7 +256,7 @@
     grantedBy_ = nullptr;
     if (!connection_)
         return;
-    replica_->ended();
+    replica_->requestEnded();
     if (!keepConnection)
         connection_->abort();
     // Handed on from the loop: this may run within the connection's own callback.
@@ -363,7 +364,8 @@
 auto RequestRun::logDecision(std::string_view event, std::string_view why) const -> void
 {
     const auto* agent = replica_ ? replica_->agent() : nullptr;
-    const auto age = agent && agent->state().at != Moment() ? text(gateway_.now() - agent->state().at) : "";
+    const auto age
+        = agent && agent->state().receivedAt != Moment() ? text(gateway_.now() - agent->state().receivedAt) : "";
     log::info(event,
         { { "request", facts_.attempt.str() }, { "replica", replica_ ? replica_->id().str() : "" },
             { "adapter", facts_.adapter.str() }, { "reason", std::string(why) }, { "state_age_ms", age },
--- a/packages/serving/RequestRun.h
+++ b/packages/serving/RequestRun.h
@@ -34,7 +34,7 @@
     /// Whether the key may still be used, by what is known now; asked before each send.
     [[nodiscard]] auto keyHolds() -> bool;
     auto takeQuota() -> void;
-    auto quotaAnswered(const QuotaCharge& charge, const QuotaVerdict& verdict) -> void;
+    auto quotaAnswered(const QuotaCharge& charge, const QuotaDecision& verdict) -> void;
     [[nodiscard]] auto urgency() const -> std::uint32_t;
     auto place() -> void;
     auto approach() -> void;
@@ -96,7 +96,7 @@
     GatewayContext& gateway_;
     std::shared_ptr<CallerExchange> caller_;
     wire::HttpRequestMessage request_;
-    RequestFacts facts_;
+    RequestMetadata facts_;
     std::shared_ptr<const ServingConfiguration> configuration_;
     const RouteRecord* route_ = nullptr;
     /// Who asks; null where nobody is asked for a key.
--- a/packages/serving/SuspectRequests.cpp
+++ b/packages/serving/SuspectRequests.cpp
@@ -15,7 +15,8 @@
 
 } // namespace
 
-auto digestOf(const wire::HttpRequestMessage& request, const RequestFacts& facts, const MemberId& member) -> std::string
+auto digestOf(const wire::HttpRequestMessage& request, const RequestMetadata& facts, const MemberId& member)
+    -> std::string
 {
     auto hash = hashed(0, request.method);
     for (const auto* text : { &request.target, &facts.model.str(), &facts.adapter.str(), &request.body, &member.str() })
@@ -28,7 +29,7 @@
     auto first = decisions::FirstByRendezvous<AgentLink*>(hashed(0, digest), 1);
     for (const auto& [instance, replica] : directory_.all()) {
         auto* agent = replica->agent();
-        if (agent && agent->hub() && agent->alive())
+        if (agent && agent->isHub() && agent->alive())
             first.offer(agent, agent->endpointHash());
     }
     const auto agents = first.nodes();
@@ -39,7 +40,7 @@
 {
     own_.crashed(digest, own_.crashes(digest));
     if (auto* agent = agentFor(digest))
-        agent->suspect(digest, true);
+        agent->reportSuspect(digest, true);
 }
 
 auto SuspectRequests::succeeded(const std::string& digest) -> void
@@ -48,7 +49,7 @@
         return;
     own_.succeeded(digest);
     if (auto* agent = agentFor(digest))
-        agent->suspect(digest, false);
+        agent->reportSuspect(digest, false);
 }
 
 auto SuspectRequests::refused(const std::string& digest) const -> bool
--- a/packages/serving/SuspectRequests.h
+++ b/packages/serving/SuspectRequests.h
@@ -35,7 +35,7 @@
 };
 
 /// Names a request by what a replica would run, and for whom: method, target, model, body and member.
-[[nodiscard]] auto digestOf(const wire::HttpRequestMessage& request, const RequestFacts& facts, const MemberId& member)
-    -> std::string;
+[[nodiscard]] auto digestOf(
+    const wire::HttpRequestMessage& request, const RequestMetadata& facts, const MemberId& member) -> std::string;
 
 } // namespace eelgrass::serving
--- a/packages/serving/Types.h
+++ b/packages/serving/Types.h
@@ -21,7 +21,7 @@
 /// A replica's name; it may start again under the same one, see `ReplicaStart`.
 using InstanceId = StrongId<struct InstanceIdTag>;
 /// When a replica started, in Unix milliseconds; 0 where it has not said.
-using Birth = StrongNumber<struct BirthTag>;
+using StartTime = StrongNumber<struct StartTimeTag>;
 /// Within its base model; empty for the base model itself.
 using AdapterName = AdapterId;
 using BaseModel = StrongId<struct BaseModelTag>;
@@ -46,7 +46,7 @@
     double ratePerSecond = 0;
     double burst = 0;
     /// Tokens that a request counts for which tells none.
-    double plainTokens = 0;
+    double defaultTokens = 0;
 
     [[nodiscard]] auto limits() const noexcept -> bool { return ratePerSecond > 0; }
 };
@@ -78,11 +78,11 @@
     bool resumable = false;
     milliseconds timeout { 10000 };
     /// Within this the answer, or its first event, is on time.
-    milliseconds aim { 1000 };
+    milliseconds latencyTarget { 1000 };
     /// Longest pause between two events of a stream that is still on time.
-    milliseconds pauseAim { 300 };
+    milliseconds eventGapTarget { 300 };
     /// Whoever calls needs no key.
-    bool open = false;
+    bool isPublic = false;
     /// 0 is the most urgent.
     std::uint32_t priority = 5;
     /// Replicas that one attempt of a client may run on.
@@ -135,14 +135,14 @@
 /// leaving) says nothing of this one: it begins empty.
 struct ReplicaStart {
     InstanceId instance;
-    Birth birth;
+    StartTime startTime;
 };
 
 /// Whether both may be the same start. A birth that was not told tells no two starts apart.
 [[nodiscard]] inline auto sameStart(const ReplicaStart& left, const ReplicaStart& right) noexcept -> bool
 {
-    const auto told = left.birth != Birth() && right.birth != Birth();
-    return left.instance == right.instance && (!told || left.birth == right.birth);
+    const auto told = left.startTime != StartTime() && right.startTime != StartTime();
+    return left.instance == right.instance && (!told || left.startTime == right.startTime);
 }
 
 enum class ReplicaPhase { Ready, Draining };
@@ -177,7 +177,7 @@
 };
 
 /// What a client said of its request.
-struct RequestFacts {
+struct RequestMetadata {
     AttemptId attempt;
     /// How long the client will wait, from its sending.
     std::optional<milliseconds> deadline;
@@ -187,7 +187,7 @@
     Tokens outputTokens = 0;
     std::vector<PromptPart> prompt;
     /// The last event that the client has already.
-    std::optional<std::uint64_t> lastEvent;
+    std::optional<std::uint64_t> lastEventId;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/detail/RunLimits.h
+++ b/packages/serving/detail/RunLimits.h
@@ -58,7 +58,8 @@
     constexpr auto least = Duration(2s);
     constexpr auto aims = 4;
     constexpr auto pauses = 8;
-    return std::max({ least, aims * Duration(route.aim), pauses * Duration(route.pauseAim) }) - answerMargin;
+    return std::max({ least, aims * Duration(route.latencyTarget), pauses * Duration(route.eventGapTarget) })
+        - answerMargin;
 }
 
 } // namespace eelgrass::serving::detail
--- a/tests/unit/UsersPlatform.cpp
+++ b/tests/unit/UsersPlatform.cpp
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_CASE(a_requests_headers_become_facts)
 {
-    const auto facts = readFacts(request());
+    const auto facts = readRequestMetadata(request());
     BOOST_REQUIRE(facts);
     BOOST_TEST(facts->attempt.str() == "abc");
     BOOST_TEST(facts->model.str() == "base");
@@ -51,7 +51,7 @@
 {
     auto message = request();
     message.fields.remove(names::attemptId);
-    BOOST_TEST(!readFacts(message).has_value());
+    BOOST_TEST(!readRequestMetadata(message).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_forwarded_request_keeps_the_clients_words_and_gets_ours)
@@ -76,13 +76,13 @@
 {
     auto head = wire::HttpResponseHead { .status = 200 };
     head.fields.add(names::attemptId, "other");
-    BOOST_TEST(readAnswer(head, AttemptId("abc")).foreign);
+    BOOST_TEST(readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
     head.fields.set(names::attemptId, "abc");
-    BOOST_TEST(!readAnswer(head, AttemptId("abc")).foreign);
+    BOOST_TEST(!readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
     // A success that names nobody may be an extra answer; a refusal may come without a name.
-    BOOST_TEST(readAnswer({ .status = 200 }, AttemptId("abc")).foreign);
-    BOOST_TEST(!readAnswer({ .status = 421 }, AttemptId("abc")).foreign);
-    BOOST_TEST(readAnswer({ .status = 421 }, AttemptId("abc")).notRun);
+    BOOST_TEST(readAnswerMetadata({ .status = 200 }, AttemptId("abc")).forOtherAttempt);
+    BOOST_TEST(!readAnswerMetadata({ .status = 421 }, AttemptId("abc")).forOtherAttempt);
+    BOOST_TEST(readAnswerMetadata({ .status = 421 }, AttemptId("abc")).notRun);
 }
 
 BOOST_AUTO_TEST_CASE(when_to_come_back_keeps_its_fractions)
@@ -232,8 +232,8 @@
     BOOST_TEST((member.quota.unit == serving::Quota::Unit::Tokens));
     BOOST_TEST(member.quota.ratePerSecond == 1000);
     BOOST_TEST(member.quota.burst == 500);
-    BOOST_TEST(member.quota.plainTokens == 200);
-    BOOST_TEST(configuration.routes[0].open);
+    BOOST_TEST(member.quota.defaultTokens == 200);
+    BOOST_TEST(configuration.routes[0].isPublic);
     BOOST_TEST(!configuration.members[1].quota.limits());
     BOOST_TEST(!configuration.members[1].priority.has_value());
 }
