--- a/bench/decisions/Driver.cpp
+++ b/bench/decisions/Driver.cpp
@@ -284,7 +284,7 @@
     target.slots->loadEnded(load.model, loaded, now_);
     loadQueue_.release(target.id);
     if (const auto wanted = target.wantedAt.extract(load.model))
-        target.requests.loadTook(now_ - wanted.mapped());
+        target.requests.recordLoadTime(now_ - wanted.mapped());
 }
 
 auto Driver::stepEngine(Target& target) -> void
@@ -302,7 +302,7 @@
         if (work.doneSteps < static_cast<double>(request.prefillSteps + request.outputSteps))
             return false;
         target.slots->unpin(request.model);
-        target.requests.ran(request.requestClass, now_ - work.startedAt);
+        target.requests.recordRunTime(request.requestClass, now_ - work.startedAt);
         if (now_ - request.arrivedAt <= request.deadline)
             ++outcome_.inDeadline;
         return true;
--- a/packages/decisions/AdapterSlots.cpp
+++ b/packages/decisions/AdapterSlots.cpp
@@ -19,7 +19,7 @@
 }
 
 auto AdapterSlots::request(const ModelName& model, Moment now, const MemberId& member, const Keep& keep) const
-    -> SlotAnswer
+    -> SlotDecision
 {
     const auto found = slots_.find(model);
     if (found != slots_.end()) {
@@ -27,14 +27,14 @@
             return UseNow {};
         // An unload under way is waited for: a load sent beside it could be overtaken, and the request would run on
         // nothing.
-        return AwaitOrder {};
+        return AwaitTransition {};
     }
     if (slots_.size() < count_)
         return LoadNow {};
     for (const auto& [name, slot] : slots_) {
         // One slot that is being emptied is enough for one request; a second eviction would waste a load.
         if (slot.state == State::Unloading)
-            return AwaitOrder {};
+            return AwaitTransition {};
     }
     const auto chosen = victim(now, member, keep);
     if (chosen)
--- a/packages/decisions/AdapterSlots.h
+++ b/packages/decisions/AdapterSlots.h
@@ -17,7 +17,7 @@
 /// The adapter may be used now; pin it before the request is sent.
 struct UseNow { };
 /// A load or an unload of the adapter is under way; ask again when it ends.
-struct AwaitOrder { };
+struct AwaitTransition { };
 /// Load the adapter into a free slot.
 struct LoadNow { };
 /// Unload `victim`; then ask again.
@@ -26,7 +26,7 @@
 };
 /// Every slot is pinned or busy; ask again when one is released.
 struct NoSlot { };
-using SlotAnswer = std::variant<UseNow, AwaitOrder, LoadNow, EvictFirst, NoSlot>;
+using SlotDecision = std::variant<UseNow, AwaitTransition, LoadNow, EvictFirst, NoSlot>;
 
 /// Which unpinned adapter gives way.
 enum class EvictionRule {
@@ -71,7 +71,7 @@
 
     /// What to do so that a request for `model` can run. Changes nothing.
     [[nodiscard]] auto request(
-        const ModelName& model, Moment now, const MemberId& member = {}, const Keep& keep = {}) const -> SlotAnswer;
+        const ModelName& model, Moment now, const MemberId& member = {}, const Keep& keep = {}) const -> SlotDecision;
     /// Counts one request for `model` in its demand; once a request, when it is accepted.
     auto asked(const ModelName& model, Moment now) -> void { demand_.add(model, now); }
     /// Demand for the adapter that the next load would push out; 0 for a free slot, infinite if none can give way.
--- a/packages/decisions/AdmissionQueue.cpp
+++ b/packages/decisions/AdmissionQueue.cpp
@@ -26,7 +26,7 @@
 auto AdmissionQueue::setLimits(ReplicaLimits limits) -> void
 {
     if (limits.readRate != limits_.readRate)
-        rate_ = ReadRate(limits.readRate);
+        rate_ = PrefillRate(limits.readRate);
     limits_ = limits;
 }
 
@@ -77,20 +77,20 @@
 
 auto AdmissionQueue::onTime(const AdmissionRequest& request, Moment now) const -> bool
 {
-    return now + readTime(unstarted_ + request.unreadTokens) <= request.lateAt;
+    return now + readTime(unstarted_ + request.unreadTokens) <= request.firstEventDeadline;
 }
 
 auto AdmissionQueue::startBy(const AdmissionRequest& request) const -> Moment
 {
-    return request.lateAt - readTime(request.unreadTokens);
+    return request.firstEventDeadline - readTime(request.unreadTokens);
 }
 
 auto AdmissionQueue::before(const AdmissionRequest& left, const AdmissionRequest& right, Moment now) const -> bool
 {
     const auto leftLate = !onTime(left, now);
     const auto rightLate = !onTime(right, now);
-    const auto leftAt = leftLate ? left.arrivedAt : left.lateAt;
-    const auto rightAt = rightLate ? right.arrivedAt : right.lateAt;
+    const auto leftAt = leftLate ? left.arrivedAt : left.firstEventDeadline;
+    const auto rightAt = rightLate ? right.arrivedAt : right.firstEventDeadline;
     return std::tie(leftLate, left.priority, leftAt) < std::tie(rightLate, right.priority, rightAt);
 }
 
@@ -111,10 +111,10 @@
     const auto wait = std::max(readTime(ahead, request.priority, now), loadTime);
     const auto begins = now + wait + readTime(request.unreadTokens);
     // Where its aim is over already it loses nothing more by waiting.
-    if (request.elsewhere && now < request.lateAt && begins > request.lateAt)
+    if (request.elsewhere && now < request.firstEventDeadline && begins > request.firstEventDeadline)
         return AdmissionRefusal { request.attempt, wait, true };
     noteInflow(request, now);
-    if (begins >= request.gaveUpAt)
+    if (begins >= request.callerDeadline)
         return AdmissionRefusal { request.attempt, std::max(wait, shortestRetry) };
     waiting_.push_back(std::move(request));
     return std::nullopt;
@@ -165,7 +165,7 @@
     auto ahead = unstarted_;
     std::erase_if(waiting_, [&](const AdmissionRequest& request) {
         const auto wait = readTime(ahead, request.priority, now);
-        if (now + wait + readTime(request.unreadTokens) < request.gaveUpAt) {
+        if (now + wait + readTime(request.unreadTokens) < request.callerDeadline) {
             ahead += ready(request.adapter) ? request.unreadTokens : 0;
             return false;
         }
--- a/packages/decisions/AdmissionQueue.h
+++ b/packages/decisions/AdmissionQueue.h
@@ -2,7 +2,7 @@
 
 #include "base/Clock.h"
 #include "base/Ids.h"
-#include "decisions/ReadRate.h"
+#include "decisions/PrefillRate.h"
 
 #include <cstdint>
 #include <functional>
@@ -30,9 +30,9 @@
     /// When its adapter was there; set by the queue.
     Moment readyAt {};
     /// When the first event is late.
-    Moment lateAt = Moment::max();
+    Moment firstEventDeadline = Moment::max();
     /// When nobody waits for it any more.
-    Moment gaveUpAt = Moment::max();
+    Moment callerDeadline = Moment::max();
     /// Its entry can ask another replica, should it be late here.
     bool elsewhere = false;
 };
@@ -167,7 +167,7 @@
     auto run(const AdmissionRequest& request) -> bool;
     auto settle(Running& running) -> void;
     ReplicaLimits limits_;
-    ReadRate rate_ { ReplicaLimits().readRate };
+    PrefillRate rate_ { ReplicaLimits().readRate };
     std::vector<AdmissionRequest> waiting_;
     std::map<AttemptId, Running> running_;
     std::map<std::uint32_t, Inflow> inflow_;
--- a/packages/decisions/CircuitBreaker.cpp
+++ b/packages/decisions/CircuitBreaker.cpp
@@ -35,7 +35,7 @@
 auto CircuitBreaker::succeeded(Moment sentAt, Moment now) noexcept -> void
 {
     count(0, now);
-    if (sentAt < restsUntil_)
+    if (sentAt < openUntil_)
         return;
     breaks_ = 0;
     open_ = false;
@@ -47,26 +47,26 @@
     count(1, now);
     // It answers, if not well.
     trying_ = false;
-    open_ = open_ && now < restsUntil_;
+    open_ = open_ && now < openUntil_;
     breaks_ = 0;
 }
 
-auto CircuitBreaker::broke(Moment now) noexcept -> void
+auto CircuitBreaker::connectionBroke(Moment now) noexcept -> void
 {
     count(1, now);
     if (now - brokeAt_ > forgets)
         rests_ = 0;
     brokeAt_ = now;
     trying_ = false;
-    if (++breaks_ < breaksToRest || now < restsUntil_)
+    if (++breaks_ < breaksToRest || now < openUntil_)
         return;
     open_ = true;
-    restsUntil_ = now + shortestRest * (1U << std::min(rests_++, mostDoublings));
+    openUntil_ = now + shortestRest * (1U << std::min(rests_++, mostDoublings));
 }
 
-auto CircuitBreaker::ended(Moment sentAt) noexcept -> void
+auto CircuitBreaker::endedWithoutResult(Moment sentAt) noexcept -> void
 {
-    if (sentAt >= restsUntil_)
+    if (sentAt >= openUntil_)
         trying_ = false;
 }
 
--- a/packages/decisions/CircuitBreaker.h
+++ b/packages/decisions/CircuitBreaker.h
@@ -20,28 +20,28 @@
 /// for it: a stream that began before may still end well on a replica that takes nothing new.
 ///
 /// ```cpp
-/// if (breaker.allows(now)) { send(request); breaker.tried(); }
-/// breaker.broke(now);
+/// if (breaker.allows(now)) { send(request); breaker.requestSent(); }
+/// breaker.connectionBroke(now);
 /// ```
 class CircuitBreaker {
 public:
-    [[nodiscard]] auto allows(Moment now) const noexcept -> bool { return !open_ || (now >= restsUntil_ && !trying_); }
+    [[nodiscard]] auto allows(Moment now) const noexcept -> bool { return !open_ || (now >= openUntil_ && !trying_); }
     /// Whether requests are held back now or go one at a time.
     [[nodiscard]] auto open() const noexcept -> bool { return open_; }
-    [[nodiscard]] auto restsUntil() const noexcept -> Moment { return restsUntil_; }
+    [[nodiscard]] auto openUntil() const noexcept -> Moment { return openUntil_; }
     /// The share of the last requests that failed or broke off, from 0 to 1; forgotten with time.
     [[nodiscard]] auto failureShare(Moment now) const noexcept -> double;
 
     /// A request was sent.
-    auto tried() noexcept -> void { trying_ = open_; }
+    auto requestSent() noexcept -> void { trying_ = open_; }
     /// A request that was sent at `sentAt` began to answer.
     auto succeeded(Moment sentAt, Moment now) noexcept -> void;
     /// The replica answered with a failure of its own.
     auto failed(Moment now) noexcept -> void;
     /// The connection broke before an answer.
-    auto broke(Moment now) noexcept -> void;
+    auto connectionBroke(Moment now) noexcept -> void;
     /// A request ended and says nothing, as when its caller left.
-    auto ended(Moment sentAt) noexcept -> void;
+    auto endedWithoutResult(Moment sentAt) noexcept -> void;
 
 private:
     auto count(double failure, Moment now) noexcept -> void;
@@ -50,7 +50,7 @@
     bool trying_ = false;
     std::uint32_t breaks_ = 0;
     std::uint32_t rests_ = 0;
-    Moment restsUntil_ {};
+    Moment openUntil_ {};
     Moment brokeAt_ {};
     /// As of `countedAt_`.
     double share_ = 0;
--- a/packages/decisions/LapseGrace.h
+++ b/packages/decisions/ExpiryGrace.h
@@ -23,7 +23,7 @@
 /// grace.regained(now);
 /// if (grace.gone(replica.listedAt(), now)) remove(replica);
 /// ```
-class LapseGrace {
+class ExpiryGrace {
 public:
     /// The store does not answer, at `now` or since earlier.
     auto lost(Moment now) noexcept -> void
--- a/packages/decisions/Forward.h
+++ b/packages/decisions/Forward.h
@@ -6,18 +6,18 @@
 class AdapterSlots;
 class CircuitBreaker;
 class Fleet;
-class LatelyHeld;
-class LoadPace;
+class RecentAdapters;
+class LoadConcurrency;
 class LoadQueue;
 class Placer;
 class PollSchedule;
-class ReadRate;
-class ReportGate;
+class PrefillRate;
+class ReportThrottle;
 class RequestQueue;
 class RetryBudget;
 class SharedReading;
-struct ReplicaFigures;
+struct ReplicaLoad;
 struct TargetView;
-struct PublishPace;
+struct PublishPolicy;
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/KnownPrompts.h
+++ b/packages/decisions/KnownPrefixes.h
@@ -25,9 +25,9 @@
 /// auto unread = prefixes.back().tokens - known.tokens(prefixes);
 /// known.remember(prefixes);
 /// ```
-class KnownPrompts {
+class KnownPrefixes {
 public:
-    explicit KnownPrompts(std::size_t capacity) noexcept
+    explicit KnownPrefixes(std::size_t capacity) noexcept
         : capacity_(capacity)
     {
     }
--- a/packages/decisions/LoadPace.h
+++ b/packages/decisions/LoadConcurrency.h
@@ -21,7 +21,7 @@
 /// if (coming < pace.limit(wanted.late)) order(load);
 /// pace.ended(now - orderedAt);
 /// ```
-class LoadPace {
+class LoadConcurrency {
 public:
     [[nodiscard]] auto limit(bool late = false) const noexcept -> std::size_t { return late ? 1 : limit_; }
     /// A load from the weight store is over.
--- a/packages/decisions/LoadQueue.cpp
+++ b/packages/decisions/LoadQueue.cpp
@@ -17,7 +17,7 @@
     return weight * age * age;
 }
 
-auto LoadQueue::ask(LoadAsk ask) -> void { asks_[ask.target] = ask; }
+auto LoadQueue::ask(LoadRequest ask) -> void { asks_[ask.target] = ask; }
 
 auto LoadQueue::release(const TargetId& target) -> void
 {
@@ -42,12 +42,12 @@
     return { target };
 }
 
-auto LoadQueue::grantEnds() const -> std::optional<Moment>
+auto LoadQueue::grantExpiresAt() const -> std::optional<Moment>
 {
     return grant_ ? std::optional(grant_->endsAt) : std::nullopt;
 }
 
-auto LoadPacer::take(Moment now) -> bool
+auto LoadRateLimiter::take(Moment now) -> bool
 {
     const auto passed = std::chrono::duration<double>(now - at_).count();
     saved_ = std::min(atOnce, saved_ + passed * perSecond_);
--- a/packages/decisions/LoadQueue.h
+++ b/packages/decisions/LoadQueue.h
@@ -10,7 +10,7 @@
 namespace eelgrass::decisions {
 
 /// What a target would load next, for whom.
-struct LoadAsk {
+struct LoadRequest {
     TargetId target;
     /// Weights of the classes of all requests that wait for this adapter, added up.
     double weight = 0;
@@ -39,7 +39,7 @@
     static constexpr auto grantLasts = Duration(2s);
 
     /// Puts or replaces the ask of a target; each has one.
-    auto ask(LoadAsk ask) -> void;
+    auto ask(LoadRequest ask) -> void;
     auto withdraw(const TargetId& target) -> void { asks_.erase(target); }
     /// The load of a granted turn ended, well or not.
     auto release(const TargetId& target) -> void;
@@ -47,14 +47,14 @@
     [[nodiscard]] auto grants(Moment now) -> std::vector<TargetId>;
     [[nodiscard]] auto waiting() const noexcept -> std::size_t { return asks_.size(); }
     /// When an unreleased grant ends by itself; empty when none is out.
-    [[nodiscard]] auto grantEnds() const -> std::optional<Moment>;
+    [[nodiscard]] auto grantExpiresAt() const -> std::optional<Moment>;
 
 private:
     struct Grant {
         TargetId target;
         Moment endsAt {};
     };
-    std::map<TargetId, LoadAsk> asks_;
+    std::map<TargetId, LoadRequest> asks_;
     std::optional<Grant> grant_;
 };
 
@@ -62,9 +62,9 @@
 ///
 /// Load made for: an outage of entries during a burst. Two loads may follow each other at once, since most outages are
 /// short and most targets idle; after that the share holds, so that all targets together stay within the store's rate.
-class LoadPacer {
+class LoadRateLimiter {
 public:
-    LoadPacer(double loadsPerSecond, std::size_t targets) noexcept
+    LoadRateLimiter(double loadsPerSecond, std::size_t targets) noexcept
         : perSecond_(loadsPerSecond / static_cast<double>(targets))
     {
     }
--- a/packages/decisions/ReadRate.cpp
+++ b/packages/decisions/PrefillRate.cpp
@@ -1,4 +1,4 @@
-#include "decisions/ReadRate.h"
+#include "decisions/PrefillRate.h"
 
 #include <algorithm>
 #include <chrono>
@@ -16,13 +16,13 @@
 
 } // namespace
 
-auto ReadRate::granted(Moment now) noexcept -> void
+auto PrefillRate::granted(Moment now) noexcept -> void
 {
     if (reading_++ == 0)
         mark_ = now;
 }
 
-auto ReadRate::started(std::uint64_t tokens, Moment now) noexcept -> void
+auto PrefillRate::started(std::uint64_t tokens, Moment now) noexcept -> void
 {
     if (reading_ == 0)
         return;
@@ -37,13 +37,13 @@
     tokens_ = memory;
 }
 
-auto ReadRate::dropped() noexcept -> void
+auto PrefillRate::dropped() noexcept -> void
 {
     if (reading_ > 0)
         --reading_;
 }
 
-auto ReadRate::perMillisecond() const noexcept -> double
+auto PrefillRate::perMillisecond() const noexcept -> double
 {
     const auto rate = (tokens_ + prior) / (milliseconds_ + prior / expected_);
     return std::clamp(rate, least * expected_, most * expected_);
--- a/packages/decisions/ReadRate.h
+++ b/packages/decisions/PrefillRate.h
@@ -20,10 +20,10 @@
 /// rate.started(request.unreadTokens, now);
 /// limits.readRate = rate.perMillisecond();
 /// ```
-class ReadRate {
+class PrefillRate {
 public:
     /// `expected` is taken until enough has been read.
-    explicit ReadRate(double expected) noexcept
+    explicit PrefillRate(double expected) noexcept
         : expected_(expected)
     {
     }
--- a/packages/decisions/PublishPace.cpp
+++ b/packages/decisions/PublishPolicy.cpp
@@ -1,4 +1,4 @@
-#include "decisions/PublishPace.h"
+#include "decisions/PublishPolicy.h"
 
 #include <algorithm>
 
@@ -34,26 +34,25 @@
 
 } // namespace
 
-auto PublishPace::gather(Audience audience, std::size_t entries) noexcept -> Duration
+auto PublishPolicy::batchingDelay(Audience audience, std::size_t entries) noexcept -> Duration
 {
     const auto count = static_cast<Duration::rep>(entries);
     switch (audience) {
-    case Audience::Near: {
+    case Audience::SameZone: {
         const auto many = std::max(count, fewEntries);
         return std::min(Duration(nearGather * count * many / fewEntries), longestNearGather);
     }
-    case Audience::Asking:
+    case Audience::RecentRequester:
         return std::min(Duration(farGather * count), longestAskingGather);
-    case Audience::Far:
+    case Audience::OtherZone:
         break;
     }
     return std::min(Duration(farGather * count), longestFarGather);
 }
 
-auto PublishPace::worthPublishing(Audience audience, const ReplicaFigures& last, const ReplicaFigures& now) noexcept
-    -> bool
+auto PublishPolicy::shouldPublish(Audience audience, const ReplicaLoad& last, const ReplicaLoad& now) noexcept -> bool
 {
-    if (audience != Audience::Far || last.usable != now.usable)
+    if (audience != Audience::OtherZone || last.usable != now.usable)
         return last != now;
     return difference(last.tokensAhead + last.tokensWaiting, now.tokensAhead + now.tokensWaiting) >= tokensThatMatter
         || difference(last.running, now.running) >= runsThatMatter
@@ -62,9 +61,9 @@
         || difference(last.failures, now.failures) >= failuresThatMatter;
 }
 
-auto PublishPace::heartbeat(Audience audience) noexcept -> Duration
+auto PublishPolicy::heartbeat(Audience audience) noexcept -> Duration
 {
-    return audience == Audience::Near ? nearHeartbeat : farHeartbeat;
+    return audience == Audience::SameZone ? nearHeartbeat : farHeartbeat;
 }
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/PublishPace.h
+++ b/packages/decisions/PublishPolicy.h
@@ -8,7 +8,7 @@
 namespace eelgrass::decisions {
 
 /// What entries place requests by, of one replica.
-struct ReplicaFigures {
+struct ReplicaLoad {
     bool usable = false;
     std::size_t running = 0;
     std::size_t queued = 0;
@@ -23,17 +23,17 @@
     /// Share of the last requests that failed there.
     double failures = 0;
 
-    [[nodiscard]] auto operator==(const ReplicaFigures&) const -> bool = default;
+    [[nodiscard]] auto operator==(const ReplicaLoad&) const -> bool = default;
 };
 
 /// Entries by what a replica's figures are to them.
 enum class Audience {
     /// In the replica's zone: most of its requests come from these.
-    Near,
+    SameZone,
     /// In another zone, with a request there in the last seconds.
-    Asking,
+    RecentRequester,
     /// In another zone, with none.
-    Far,
+    OtherZone,
 };
 
 /// When the process beside a replica publishes its state to entries.
@@ -45,16 +45,16 @@
 /// that an entry reads grow with the number of agents divided by the time for which changes are gathered, so that time
 /// grows with the fleet too, by its square in a zone. An entry that has a request there is sent more, and each answer
 /// to it carries the figures: who places much there knows more.
-struct PublishPace {
+struct PublishPolicy {
     /// How long changes are gathered before they are published to `entries` of that audience.
-    [[nodiscard]] static auto gather(Audience audience, std::size_t entries) noexcept -> Duration;
+    [[nodiscard]] static auto batchingDelay(Audience audience, std::size_t entries) noexcept -> Duration;
     /// Whether they are published at all; names and heartbeats are in any case.
-    [[nodiscard]] static auto worthPublishing(
-        Audience audience, const ReplicaFigures& last, const ReplicaFigures& now) noexcept -> bool;
+    [[nodiscard]] static auto shouldPublish(Audience audience, const ReplicaLoad& last, const ReplicaLoad& now) noexcept
+        -> bool;
     /// Longest time between two updates.
     [[nodiscard]] static auto heartbeat(Audience audience) noexcept -> Duration;
     /// After a request from an entry of another zone it counts as one that asks.
-    static constexpr auto askingFor = Duration(2s);
+    static constexpr auto requesterWindow = Duration(2s);
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/QuotaBucket.cpp
+++ b/packages/decisions/QuotaBucket.cpp
@@ -48,7 +48,7 @@
     level_ = std::min(level_ - amount, rate_.burst);
 }
 
-auto QuotaBucket::atMost(double level, Moment now) noexcept -> void
+auto QuotaBucket::capLevel(double level, Moment now) noexcept -> void
 {
     refill(now);
     level_ = std::min(level_, level);
--- a/packages/decisions/QuotaBucket.h
+++ b/packages/decisions/QuotaBucket.h
@@ -38,7 +38,7 @@
     /// Granted elsewhere; given back where it is negative.
     auto charge(double amount, Moment now) noexcept -> void;
     /// Whoever else counts has no more than that left.
-    auto atMost(double level, Moment now) noexcept -> void;
+    auto capLevel(double level, Moment now) noexcept -> void;
     [[nodiscard]] auto level(Moment now) noexcept -> double;
 
 private:
--- a/packages/decisions/LatelyHeld.h
+++ b/packages/decisions/RecentAdapters.h
@@ -12,10 +12,10 @@
 /// take nothing from the weight store.
 ///
 /// ```cpp
-/// lately.note(resident, LatelyHeld::perSlot * slots);
+/// lately.note(resident, RecentAdapters::perSlot * slots);
 /// if (lately.contains(adapter)) ...
 /// ```
-class LatelyHeld {
+class RecentAdapters {
 public:
     /// Adapters whose weights a replica keeps at hand, for each slot that it has. Measured by how long loads took that
     /// came back after others: within 6 times the slots nine in ten took 40 ms, beyond it all took 250 ms and more, on
--- a/packages/decisions/ReplicaChoice.cpp
+++ b/packages/decisions/ReplicaChoice.cpp
@@ -66,13 +66,13 @@
 }
 
 /// How likely the shared part of the prompt was never read there, when this entry did not send it.
-auto unreadChance(const ReplicaView& replica, const PlacementNeed& need) -> double
+auto unreadChance(const ReplicaView& replica, const PlacementQuery& need) -> double
 {
     return replica.holds ? 1 - readElsewhere * (1 - disfavour(need.sharedId, replica.id)) : 1;
 }
 
 /// Until an adapter is there that is not now.
-auto loadWait(const ReplicaView& replica, const PlacementNeed& need) -> Duration
+auto loadWait(const ReplicaView& replica, const PlacementQuery& need) -> Duration
 {
     auto wait = replica.warm ? warmTime : fetchTime;
     wait += need.waitingLoad * replica.loadsWaiting;
@@ -84,7 +84,7 @@
 
 } // namespace
 
-auto expectedStart(const ReplicaView& replica, const PlacementNeed& need) -> Duration
+auto expectedStart(const ReplicaView& replica, const PlacementQuery& need) -> Duration
 {
     const auto load = replica.holds ? Duration(0) : loadWait(replica, need);
     const auto ahead = readTime(replica.tokensAhead + (replica.holds ? 0 : replica.tokensWaiting), need.readRate);
@@ -94,7 +94,7 @@
     // A full batch starts nothing until a run ends.
     if (full >= 1)
         start += runTime;
-    const auto unknown = need.sharedTokens - std::min(need.sharedTokens, replica.knownTokens);
+    const auto unknown = need.sharedTokens - std::min(need.sharedTokens, replica.cachedTokens);
     if (unknown > 0)
         start += share(unreadChance(replica, need), readTime(unknown, need.readRate));
     if (share(replica.slowness, pauseWhileReading(need.unreadTokens + need.sharedTokens)) > need.pauseLimit)
@@ -106,7 +106,7 @@
     return share(replica.slowness, start + Duration(1ms));
 }
 
-auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementNeed& need) -> std::optional<std::size_t>
+auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need) -> std::optional<std::size_t>
 {
     const auto hadWithout = std::any_of(replicas.begin(), replicas.end(), [](const ReplicaView& replica) {
         return replica.usable && (replica.holds || replica.loading || replica.warm);
--- a/packages/decisions/ReplicaChoice.h
+++ b/packages/decisions/ReplicaChoice.h
@@ -40,13 +40,13 @@
     /// How old the figures are.
     Duration age { 0 };
     /// How much of the shared parts of the prompt it has read, as far as this entry knows.
-    std::uint64_t knownTokens = 0;
+    std::uint64_t cachedTokens = 0;
     /// What it takes for the same work against its peers; 1 for as fast as they.
     double slowness = 1;
 };
 
 /// What placement needs to know of a request.
-struct PlacementNeed {
+struct PlacementQuery {
     std::string_view adapter;
     /// Who chooses.
     std::string_view entry;
@@ -68,7 +68,7 @@
 };
 
 /// What the request would wait there, with the costs counted as times.
-[[nodiscard]] auto expectedStart(const ReplicaView& replica, const PlacementNeed& need) -> Duration;
+[[nodiscard]] auto expectedStart(const ReplicaView& replica, const PlacementQuery& need) -> Duration;
 
 /// The replica at which the request begins soonest; empty when none may take it.
 ///
@@ -100,7 +100,7 @@
 /// An adapter that nobody holds goes to the replica that its name favours, unless that one is much later than others.
 /// Entries that do not know of each other then ask the same one, and an adapter that comes back finds its weights still
 /// at hand there.
-[[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementNeed& need)
+[[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need)
     -> std::optional<std::size_t>;
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/ReportGate.cpp
+++ b/packages/decisions/ReportThrottle.cpp
@@ -1,4 +1,4 @@
-#include "decisions/ReportGate.h"
+#include "decisions/ReportThrottle.h"
 
 #include <algorithm>
 #include <bit>
@@ -12,7 +12,7 @@
 constexpr auto spacing = Duration(1s);
 
 // Free, nearly full, and then one step for each doubling of the queue: more would not change where an entry sends.
-auto loadBand(const ReportGate::Summary& summary) -> int
+auto loadBand(const ReportThrottle::Summary& summary) -> int
 {
     constexpr auto nearlyFull = 0.75;
     const auto batch = std::max<std::size_t>(1, summary.batchLimit);
@@ -23,7 +23,7 @@
 
 } // namespace
 
-auto ReportGate::due(const Summary& summary, Moment now) const -> std::optional<Duration>
+auto ReportThrottle::due(const Summary& summary, Moment now) const -> std::optional<Duration>
 {
     const auto same = summary.leaving == last_.leaving && summary.resident == last_.resident
         && loadBand(summary) == loadBand(last_);
@@ -33,7 +33,7 @@
     return std::max(gathering, left);
 }
 
-auto ReportGate::sent(Summary summary, Moment now) -> void
+auto ReportThrottle::sent(Summary summary, Moment now) -> void
 {
     last_ = std::move(summary);
     sentAt_ = now;
--- a/packages/decisions/ReportGate.h
+++ b/packages/decisions/ReportThrottle.h
@@ -21,7 +21,7 @@
 /// if (auto delay = gate.due(summary, now)) ...
 /// gate.sent(summary, now);
 /// ```
-class ReportGate {
+class ReportThrottle {
 public:
     struct Summary {
         bool leaving = false;
--- a/packages/decisions/RequestQueue.cpp
+++ b/packages/decisions/RequestQueue.cpp
@@ -193,7 +193,7 @@
     std::erase_if(requests_, [&](const QueuedRequest& request) { return request.attempt == attempt; });
 }
 
-auto RequestQueue::ran(const RequestClass& requestClass, Duration time) -> void
+auto RequestQueue::recordRunTime(const RequestClass& requestClass, Duration time) -> void
 {
     runTime_ = smoothed(runTime_, time);
     const auto known = runTimes_.find(requestClass);
@@ -208,6 +208,6 @@
     return runTime_ / static_cast<Duration::rep>(std::max(batch_, std::size_t(1)));
 }
 
-auto RequestQueue::loadTook(Duration time) -> void { loadTime_ = smoothed(loadTime_, time); }
+auto RequestQueue::recordLoadTime(Duration time) -> void { loadTime_ = smoothed(loadTime_, time); }
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/RequestQueue.h
+++ b/packages/decisions/RequestQueue.h
@@ -95,9 +95,9 @@
     }
 
     /// A started request ended after this time on the engine.
-    auto ran(const RequestClass&, Duration) -> void;
+    auto recordRunTime(const RequestClass&, Duration) -> void;
     /// A load ended this long after it was first wanted.
-    auto loadTook(Duration) -> void;
+    auto recordLoadTime(Duration) -> void;
 
     /// Mean time between two places of the full batch becoming free.
     [[nodiscard]] auto placeTime() const -> Duration;
--- a/packages/decisions/SharedReading.h
+++ b/packages/decisions/SharedReading.h
@@ -16,7 +16,7 @@
 /// the rest is for one reading of one's own and for what is on its way by then.
 ///
 /// ```cpp
-/// if (now < sharing.sparedUntil(heardAt, age)) return; // no reading of one's own
+/// if (now < sharing.coveredUntil(heardAt, age)) return; // no reading of one's own
 /// ```
 class SharedReading {
 public:
@@ -43,7 +43,7 @@
     /// Between two readings of one who reads for others, and between two questions of each of them.
     [[nodiscard]] constexpr auto sharedInterval() const noexcept -> Duration { return bound_ / 4; }
     /// Until when an answer that came at `heardAt`, of a reading `age` before that, spares a reading of one's own.
-    [[nodiscard]] constexpr auto sparedUntil(Moment heardAt, Duration age) const noexcept -> Moment
+    [[nodiscard]] constexpr auto coveredUntil(Moment heardAt, Duration age) const noexcept -> Moment
     {
         constexpr auto eighths = 5;
         return heardAt + bound_ * eighths / 8 - age;
--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -343,9 +343,9 @@
     return best == peers_.end() ? std::nullopt : std::optional(best->listener);
 }
 
-auto TargetRole::summary() const -> decisions::ReportGate::Summary
+auto TargetRole::summary() const -> decisions::ReportThrottle::Summary
 {
-    auto summary = decisions::ReportGate::Summary { .leaving = attempts_->leaving(),
+    auto summary = decisions::ReportThrottle::Summary { .leaving = attempts_->leaving(),
         .work = attempts_->queued() + attempts_->running(),
         .batchLimit = settings_.batch };
     if (slots_) {
--- a/packages/router/TargetRole.h
+++ b/packages/router/TargetRole.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/ReportGate.h"
+#include "decisions/ReportThrottle.h"
 #include "platform/PlatformClient.h"
 #include "router/Metrics.h"
 #include "router/Settings.h"
@@ -64,7 +64,7 @@
     auto describe(wire::schema::TargetState::Builder into) const -> void;
     auto loadQueueHolder() -> std::optional<LoadTurns::Listener>;
     auto forget(std::uint64_t session) -> void;
-    [[nodiscard]] auto summary() const -> decisions::ReportGate::Summary;
+    [[nodiscard]] auto summary() const -> decisions::ReportThrottle::Summary;
     auto pushState() -> void;
     auto changed() -> void;
     auto metricsPage(const wire::HttpExchangePtr& exchange) -> void;
@@ -86,7 +86,7 @@
     std::uint64_t lastSession_ = 0;
     bool ready_ = false;
     bool stopping_ = false;
-    decisions::ReportGate reports_;
+    decisions::ReportThrottle reports_;
     Timer pushTimer_;
     Timer stopTimer_;
     Timer sessionTimer_;
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -41,7 +41,7 @@
 {
     if (slots_) {
         slots_->onChange([this] { pump(); });
-        slots_->onLoadTook([this](Duration time) { requests_.loadTook(time); });
+        slots_->onLoadTook([this](Duration time) { requests_.recordLoadTime(time); });
     }
     expiry_ = loop_.timers().every(expiryPeriod, [this] { expire(); });
 }
@@ -340,7 +340,7 @@
     attempt->state = Attempt::State::Ended;
     --running_;
     if (!attempt->cancelled)
-        requests_.ran(attempt->request.requestClass, now() - attempt->acceptedAt - attempt->queueWait);
+        requests_.recordRunTime(attempt->request.requestClass, now() - attempt->acceptedAt - attempt->queueWait);
     suspectRunning_ = suspectRunning_ && running_ > 0;
     if (const auto* error = attempt->output.error(); error && error->type() == "engine_lost")
         suspects_.crashed(attempt->request.digest, attempt->request.crashes);
--- a/packages/router/controllers/LoadQueueController.cpp
+++ b/packages/router/controllers/LoadQueueController.cpp
@@ -2,7 +2,7 @@
 
 namespace eelgrass::router {
 
-auto LoadQueueController::requestTurn(const decisions::LoadAsk& ask) -> kj::Promise<bool>
+auto LoadQueueController::requestTurn(const decisions::LoadRequest& ask) -> kj::Promise<bool>
 {
     auto pair = kj::newPromiseAndFulfiller<bool>();
     auto& waiting = waiting_[ask.target];
@@ -40,7 +40,7 @@
         waiting_.erase(waiting);
     }
     expiry_ = {};
-    if (const auto ends = queue_.grantEnds())
+    if (const auto ends = queue_.grantExpiresAt())
         expiry_ = loop_.timers().after(std::max(*ends - now(), Duration(1ms)), [this] { grant(); });
 }
 
--- a/packages/router/controllers/LoadQueueController.h
+++ b/packages/router/controllers/LoadQueueController.h
@@ -17,7 +17,7 @@
     }
 
     /// True when the target's turn has come; false when the target asked again meanwhile.
-    [[nodiscard]] auto requestTurn(const decisions::LoadAsk& ask) -> kj::Promise<bool>;
+    [[nodiscard]] auto requestTurn(const decisions::LoadRequest& ask) -> kj::Promise<bool>;
     auto releaseTurn(const TargetId& target) -> void;
 
 private:
--- a/packages/router/controllers/SlotsController.cpp
+++ b/packages/router/controllers/SlotsController.cpp
@@ -64,7 +64,7 @@
         }
         if (const auto* evict = std::get_if<decisions::EvictFirst>(&answer))
             return unload(evict->victim);
-        evicting = evicting || std::holds_alternative<decisions::AwaitOrder>(answer);
+        evicting = evicting || std::holds_alternative<decisions::AwaitTransition>(answer);
     }
     if (!evicting)
         endTurn();
--- a/packages/router/target/LoadTurns.h
+++ b/packages/router/target/LoadTurns.h
@@ -41,7 +41,7 @@
     std::string target_;
     Holder holder_;
     std::function<void()> onTurn_;
-    decisions::LoadPacer pacer_;
+    decisions::LoadRateLimiter pacer_;
     double weight_ = 0;
     Moment oldestAt_ {};
     std::optional<double> askedWeight_;
--- a/packages/serving/AgentLink.h
+++ b/packages/serving/AgentLink.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/KnownPrompts.h"
+#include "decisions/KnownPrefixes.h"
 #include "decisions/QuotaBucket.h"
 #include "decisions/SessionPlan.h"
 #include "serving/Types.h"
--- a/packages/serving/AgentOrders.cpp
+++ b/packages/serving/AgentOrders.cpp
@@ -39,7 +39,7 @@
             pace_.ended(now - load.since);
         return there || now - load.since > pendingLimit;
     });
-    latelyHeld_.note(report_->resident, decisions::LatelyHeld::perSlot * slotCount_);
+    latelyHeld_.note(report_->resident, decisions::RecentAdapters::perSlot * slotCount_);
     for (const auto& [adapter, since] : unloading_)
         slots_->unloadStarted(modelName(adapter));
 }
--- a/packages/serving/AgentRole.cpp
+++ b/packages/serving/AgentRole.cpp
@@ -68,8 +68,8 @@
                                .outputTokens = request.getOutputTokens(),
                                .priority = request.getPriority(),
                                .arrivedAt = now,
-                               .lateAt = now + Duration(milliseconds(request.getAimMs())),
-                               .gaveUpAt = now + Duration(milliseconds(request.getLeftMs())),
+                               .firstEventDeadline = now + Duration(milliseconds(request.getAimMs())),
+                               .callerDeadline = now + Duration(milliseconds(request.getLeftMs())),
                                .elsewhere = request.getElsewhere() },
             AdapterVersion(request.getVersion()), shared);
         role_.publisher_.changed();
@@ -147,7 +147,7 @@
         auto& bucket = role_.quotas_.of(charge, now);
         bucket.charge(charge.getAmount(), now);
         if (charge.getAmount() > 0)
-            bucket.atMost(context.getParams().getLevel(), now);
+            bucket.capLevel(context.getParams().getLevel(), now);
         return kj::READY_NOW;
     }
 
@@ -299,7 +299,7 @@
     log::info("limits read", { { "source", "store" } });
 }
 
-auto AgentRole::figures() const -> decisions::ReplicaFigures
+auto AgentRole::figures() const -> decisions::ReplicaLoad
 {
     const auto& queue = agent_.queue();
     return { .usable = agent_.admits(),
--- a/packages/serving/AgentRole.h
+++ b/packages/serving/AgentRole.h
@@ -36,7 +36,7 @@
     };
 
     auto decided(const AttemptId& attempt, const ReplicaAgent::Decision& decision) -> void;
-    [[nodiscard]] auto figures() const -> decisions::ReplicaFigures;
+    [[nodiscard]] auto figures() const -> decisions::ReplicaLoad;
     auto fillNames(wire::schema::ReplicaState::Builder state) const -> void;
     [[nodiscard]] auto namesText() const -> std::string;
     /// The entry of this zone that is to read the store for the others; the same at every agent that sees the same
--- a/packages/serving/GatewayRole.cpp
+++ b/packages/serving/GatewayRole.cpp
@@ -280,8 +280,9 @@
     const auto now = loop_.timers().now();
     learnConfiguration(answer, asked, reader.str());
     readersVersions_ = answer.getVersions();
-    const auto spared
-        = [&](std::uint32_t ageMs) { return sharing_.sparedUntil(now, Duration(milliseconds(ageMs)) + (now - asked)); };
+    const auto spared = [&](std::uint32_t ageMs) {
+        return sharing_.coveredUntil(now, Duration(milliseconds(ageMs)) + (now - asked));
+    };
     if (const auto until = spared(answer.getConfigAgeMs()); until > now && configuration_.configuration())
         configuration_.spare(until);
     if (Duration(milliseconds(answer.getList().getAgeMs())) > sharing_.sharedInterval())
--- a/packages/serving/Replica.h
+++ b/packages/serving/Replica.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "decisions/KnownPrompts.h"
-#include "decisions/LatelyHeld.h"
+#include "decisions/KnownPrefixes.h"
+#include "decisions/RecentAdapters.h"
 #include "serving/AgentLink.h"
 #include "serving/ReplicaLeg.h"
 #include "serving/Types.h"
@@ -82,8 +82,8 @@
     [[nodiscard]] auto meanTime() const noexcept -> Duration { return meanTime_; }
 
     /// What of prompts it has read, as far as this entry sent them.
-    auto prompts() noexcept -> decisions::KnownPrompts& { return prompts_; }
-    [[nodiscard]] auto prompts() const noexcept -> const decisions::KnownPrompts& { return prompts_; }
+    auto prompts() noexcept -> decisions::KnownPrefixes& { return prompts_; }
+    [[nodiscard]] auto prompts() const noexcept -> const decisions::KnownPrefixes& { return prompts_; }
     /// Whether the replica held the adapter not long ago, so that its weights are still at hand there.
     [[nodiscard]] auto warm(const AdapterName& adapter) const -> bool { return latelyHeld_.contains(adapter); }
     /// Notes what the replica holds now; remembers the last `most`.
@@ -115,8 +115,8 @@
     std::uint32_t failures_ = 0;
     Moment restsUntil_ {};
     Duration meanTime_ {};
-    decisions::KnownPrompts prompts_ { mostPrompts };
-    decisions::LatelyHeld latelyHeld_;
+    decisions::KnownPrefixes prompts_ { mostPrompts };
+    decisions::RecentAdapters latelyHeld_;
 };
 
 using ReplicaPtr = std::shared_ptr<Replica>;
--- a/packages/serving/ReplicaAgent.cpp
+++ b/packages/serving/ReplicaAgent.cpp
@@ -378,14 +378,14 @@
     if (!grantedAt)
         return;
     if (end == RunEnd::Plain)
-        return breaker_.ended(*grantedAt);
+        return breaker_.endedWithoutResult(*grantedAt);
     if (end == RunEnd::Failed)
         return breaker_.failed(now);
-    const auto rested = breaker_.restsUntil();
-    breaker_.broke(now);
-    if (breaker_.restsUntil() == rested)
+    const auto rested = breaker_.openUntil();
+    breaker_.connectionBroke(now);
+    if (breaker_.openUntil() == rested)
         return;
-    const auto rest = breaker_.restsUntil() - now;
+    const auto rest = breaker_.openUntil() - now;
     log::warn("replica rests",
         { { "replica", instance_.str() }, { "rest_ms", std::to_string(rest.count() / microsecondsInMillisecond) } });
     refuseWaiting("replica rests after failures");
@@ -431,7 +431,7 @@
         return;
     const auto most = breaker_.open() ? std::size_t(1) : queue_.limits().batch;
     for (const auto& request : queue_.grant(isReady(), now, most)) {
-        breaker_.tried();
+        breaker_.requestSent();
         if (!request.adapter.empty())
             slots_->pin(modelName(request.adapter), now);
         decide(request.attempt,
--- a/packages/serving/ReplicaAgent.h
+++ b/packages/serving/ReplicaAgent.h
@@ -3,9 +3,9 @@
 #include "decisions/AdapterSlots.h"
 #include "decisions/AdmissionQueue.h"
 #include "decisions/CircuitBreaker.h"
-#include "decisions/KnownPrompts.h"
-#include "decisions/LatelyHeld.h"
-#include "decisions/LoadPace.h"
+#include "decisions/KnownPrefixes.h"
+#include "decisions/LoadConcurrency.h"
+#include "decisions/RecentAdapters.h"
 #include "platform/Documents.h"
 #include "platform/Store.h"
 #include "serving/Settings.h"
@@ -137,7 +137,7 @@
     std::size_t slotCount_ = 0;
     /// The lowest version of each adapter that any request asked for.
     std::map<AdapterName, AdapterVersion> wantedVersions_;
-    decisions::KnownPrompts prompts_;
+    decisions::KnownPrefixes prompts_;
     /// Orders that wait at the replica for runs to end, and since when: unloads, and loads of a newer version.
     std::map<AdapterName, Moment> unloading_;
     std::map<AdapterName, Moment> replacing_;
@@ -147,8 +147,8 @@
         bool fromStore = true;
     };
     std::map<AdapterName, Load> loads_;
-    decisions::LatelyHeld latelyHeld_;
-    decisions::LoadPace pace_;
+    decisions::RecentAdapters latelyHeld_;
+    decisions::LoadConcurrency pace_;
     decisions::CircuitBreaker breaker_;
     Timer rest_;
     /// Adapters to be loaded, in that order, as of the last look. Worked out once for each change of the queue: many
--- a/packages/serving/ReplicaDirectory.cpp
+++ b/packages/serving/ReplicaDirectory.cpp
@@ -322,7 +322,7 @@
     if (service == services.end() || !service->second.engine)
         return;
     const auto weak = std::weak_ptr<Replica>(replica);
-    const auto mostWarm = decisions::LatelyHeld::perSlot * service->second.engine->adapterSlots;
+    const auto mostWarm = decisions::RecentAdapters::perSlot * service->second.engine->adapterSlots;
     auto hooks = AgentLink::Hooks { .onState =
                                         [this, weak, mostWarm] {
                                             const auto held = weak.lock();
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "decisions/ChangeHistory.h"
-#include "decisions/LapseGrace.h"
+#include "decisions/ExpiryGrace.h"
 #include "decisions/SharedReading.h"
 #include "platform/Documents.h"
 #include "platform/Store.h"
@@ -126,7 +126,7 @@
     bool known_ = false;
     bool logEachReplica_ = true;
     bool reachable_ = false;
-    decisions::LapseGrace grace_;
+    decisions::ExpiryGrace grace_;
     std::optional<Moment> lostSince_;
     std::optional<Moment> readAt_;
     /// Age of the list that is being applied.
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -51,7 +51,7 @@
     view.slowness = agent->alive() && agent->state().readRate > 0
         ? std::min(slowestFactor, readRate / agent->state().readRate)
         : 1;
-    view.knownTokens = replica->prompts().tokens(shared_);
+    view.cachedTokens = replica->prompts().tokens(shared_);
     if (!agent->alive()) {
         // Without its agent a replica serves what it holds, by the list.
         view.holds = replica->record().hasBaseModel
@@ -118,7 +118,7 @@
     views.reserve(usable.size());
     for (const auto& replica : usable)
         views.push_back(viewOf(replica, fastest == Duration::max() ? Duration(0) : fastest, readRate));
-    const auto need = decisions::PlacementNeed { .adapter = facts_.adapter.view(),
+    const auto need = decisions::PlacementQuery { .adapter = facts_.adapter.view(),
         .entry = gateway_.settings.host.name,
         .zone = gateway_.settings.host.zone,
         .unreadTokens = facts_.promptTokens - std::min(facts_.promptTokens, sharedTokens()),
--- a/packages/serving/StatePublisher.cpp
+++ b/packages/serving/StatePublisher.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-using decisions::PublishPace;
+using decisions::PublishPolicy;
 
-constexpr auto audiences
-    = std::array { decisions::Audience::Near, decisions::Audience::Asking, decisions::Audience::Far };
+constexpr auto audiences = std::array { decisions::Audience::SameZone, decisions::Audience::RecentRequester,
+    decisions::Audience::OtherZone };
 
 } // namespace
 
@@ -23,7 +23,7 @@
 {
     for (const auto audience : audiences)
         group(audience).heartbeat
-            = loop_.timers().every(PublishPace::heartbeat(audience), [this, audience] { publish(audience, true); });
+            = loop_.timers().every(PublishPolicy::heartbeat(audience), [this, audience] { publish(audience, true); });
 }
 
 auto StatePublisher::add(Key key, wire::schema::ReplicaListener::Client client, bool near) -> void
@@ -51,9 +51,9 @@
 auto StatePublisher::audience(const Subscriber& subscriber) const -> Audience
 {
     if (subscriber.near)
-        return Audience::Near;
-    const auto asked = loop_.timers().now() - subscriber.askedAt <= PublishPace::askingFor;
-    return asked ? Audience::Asking : Audience::Far;
+        return Audience::SameZone;
+    const auto asked = loop_.timers().now() - subscriber.askedAt <= PublishPolicy::requesterWindow;
+    return asked ? Audience::RecentRequester : Audience::OtherZone;
 }
 
 auto StatePublisher::count(Audience audience) const -> std::size_t
@@ -74,7 +74,7 @@
     const auto entries = count(audience);
     if (soon.active() || entries == 0)
         return;
-    soon = loop_.timers().after(PublishPace::gather(audience, entries), [this, audience] {
+    soon = loop_.timers().after(PublishPolicy::batchingDelay(audience, entries), [this, audience] {
         group(audience).soon = {};
         publish(audience, false);
     });
@@ -92,14 +92,14 @@
         if (this->audience(subscriber) != audience)
             continue;
         // One that was sent something lately needs no heartbeat.
-        const auto beat = heartbeat && now - subscriber.publishedAt >= PublishPace::heartbeat(audience) / 2;
+        const auto beat = heartbeat && now - subscriber.publishedAt >= PublishPolicy::heartbeat(audience) / 2;
         if (beat || subscriber.askedAt > subscriber.publishedAt || subscriber.names != names
-            || PublishPace::worthPublishing(audience, subscriber.figures, figures))
+            || PublishPolicy::shouldPublish(audience, subscriber.figures, figures))
             publish(subscriber, names, figures);
     }
 }
 
-auto StatePublisher::publish(Subscriber& subscriber, const std::string& names, const decisions::ReplicaFigures& figures)
+auto StatePublisher::publish(Subscriber& subscriber, const std::string& names, const decisions::ReplicaLoad& figures)
     -> void
 {
     auto call = subscriber.client.changedRequest();
@@ -120,8 +120,8 @@
     state.setNumbersOnly(true);
 }
 
-auto StatePublisher::fillFigures(
-    wire::schema::ReplicaState::Builder state, const decisions::ReplicaFigures& figures) const -> void
+auto StatePublisher::fillFigures(wire::schema::ReplicaState::Builder state, const decisions::ReplicaLoad& figures) const
+    -> void
 {
     constexpr auto thousand = 1000;
     state.setUsable(figures.usable);
--- a/packages/serving/StatePublisher.h
+++ b/packages/serving/StatePublisher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/PublishPace.h"
+#include "decisions/PublishPolicy.h"
 #include "wire/MainLoop.h"
 #include "wire/generated/Agent.capnp.h"
 
@@ -13,7 +13,7 @@
 namespace eelgrass::serving {
 
 /// Publishes a replica's state to the entries that are attached: changes gathered, when they matter, and by a
-/// heartbeat; see `PublishPace`.
+/// heartbeat; see `PublishPolicy`.
 ///
 /// ```cpp
 /// publisher.add(session, listener, near);
@@ -23,7 +23,7 @@
 public:
     /// Where it reads what it publishes.
     struct Source {
-        std::function<decisions::ReplicaFigures()> figures;
+        std::function<decisions::ReplicaLoad()> figures;
         /// Stands for everything that `fillNames` fills in: equal texts, equal names.
         std::function<std::string()> namesText;
         std::function<void(wire::schema::ReplicaState::Builder)> fillNames;
@@ -53,7 +53,7 @@
         wire::schema::ReplicaListener::Client client;
         bool near = true;
         std::string names;
-        decisions::ReplicaFigures figures;
+        decisions::ReplicaLoad figures;
         Moment publishedAt {};
         Moment askedAt {};
         /// The last update's call. Its finish travels with the next update, not in a message of its own that would wake
@@ -64,12 +64,12 @@
         Timer soon;
         Timer heartbeat;
     };
-    auto fillFigures(wire::schema::ReplicaState::Builder state, const decisions::ReplicaFigures& figures) const -> void;
+    auto fillFigures(wire::schema::ReplicaState::Builder state, const decisions::ReplicaLoad& figures) const -> void;
     [[nodiscard]] auto audience(const Subscriber& subscriber) const -> Audience;
     [[nodiscard]] auto count(Audience audience) const -> std::size_t;
     auto publishSoon(Audience audience) -> void;
     auto publish(Audience audience, bool heartbeat) -> void;
-    auto publish(Subscriber& subscriber, const std::string& names, const decisions::ReplicaFigures& figures) -> void;
+    auto publish(Subscriber& subscriber, const std::string& names, const decisions::ReplicaLoad& figures) -> void;
     auto group(Audience audience) -> Group& { return groups_.at(static_cast<std::size_t>(audience)); }
 
     wire::MainLoop& loop_;
--- a/tests/unit/AdapterSlots.cpp
+++ b/tests/unit/AdapterSlots.cpp
@@ -19,7 +19,7 @@
     slots.loadEnded(model(name), true, at(when));
 }
 
-template <typename T> auto is(const SlotAnswer& answer) -> bool { return std::holds_alternative<T>(answer); }
+template <typename T> auto is(const SlotDecision& answer) -> bool { return std::holds_alternative<T>(answer); }
 
 } // namespace
 
@@ -28,7 +28,7 @@
     auto slots = AdapterSlots(1);
     BOOST_TEST(is<LoadNow>(slots.request(model("a"), at(0))));
     slots.loadStarted(model("a"), at(0));
-    BOOST_TEST(is<AwaitOrder>(slots.request(model("a"), at(1))));
+    BOOST_TEST(is<AwaitTransition>(slots.request(model("a"), at(1))));
     slots.loadEnded(model("a"), true, at(2));
     BOOST_TEST(is<UseNow>(slots.request(model("a"), at(3))));
 }
@@ -58,7 +58,7 @@
     auto slots = AdapterSlots(1);
     loaded(slots, "a", 0);
     slots.unloadStarted(model("a"));
-    BOOST_TEST(is<AwaitOrder>(slots.request(model("a"), at(1))));
+    BOOST_TEST(is<AwaitTransition>(slots.request(model("a"), at(1))));
     slots.unloadEnded(model("a"), true);
     BOOST_TEST(is<LoadNow>(slots.request(model("a"), at(2))));
 }
--- a/tests/unit/AdmissionQueue.cpp
+++ b/tests/unit/AdmissionQueue.cpp
@@ -20,8 +20,8 @@
         .unreadTokens = tokens,
         .outputTokens = 50,
         .arrivedAt = now,
-        .lateAt = now + late,
-        .gaveUpAt = now + gone };
+        .firstEventDeadline = now + late,
+        .callerDeadline = now + gone };
 }
 
 } // namespace
@@ -150,8 +150,11 @@
                 std::chrono::duration<double, std::milli>(static_cast<double>(granted.unreadTokens) / rate));
             engineFree = std::max(engineFree, now) + read;
             ends.emplace(engineFree, granted.attempt);
-            onTime += granted.outputTokens == 50 && granted.promptTokens == 800 && engineFree <= granted.lateAt ? 1 : 0;
-            readInVain += engineFree > granted.gaveUpAt ? 1 : 0;
+            onTime
+                += granted.outputTokens == 50 && granted.promptTokens == 800 && engineFree <= granted.firstEventDeadline
+                ? 1
+                : 0;
+            readInVain += engineFree > granted.callerDeadline ? 1 : 0;
         }
     }
     BOOST_TEST(questions > 150);
--- a/tests/unit/CircuitBreaker.cpp
+++ b/tests/unit/CircuitBreaker.cpp
@@ -32,11 +32,11 @@
     auto breaker = CircuitBreaker();
     const auto lost = lostWhileFlapping([&](Moment now) { return breaker.allows(now); },
         [&](bool well, Moment now) {
-            breaker.tried();
+            breaker.requestSent();
             if (well)
                 breaker.succeeded(now, now);
             else
-                breaker.broke(now);
+                breaker.connectionBroke(now);
         });
     const auto baseline = lostWhileFlapping([](Moment) { return true; }, [](bool, Moment) {});
     BOOST_TEST_MESSAGE("lost " << lost << " of " << baseline);
@@ -51,7 +51,7 @@
     for (auto count = 0; count < 100; ++count) {
         const auto now = Moment(Duration(50ms) * count);
         BOOST_TEST(breaker.allows(now));
-        breaker.tried();
+        breaker.requestSent();
         if (count % 5 < 2)
             breaker.failed(now);
         else
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_CASE(a_single_break_rests_nobody_and_is_forgotten)
 {
     auto breaker = CircuitBreaker();
-    breaker.broke(Moment(1s));
+    breaker.connectionBroke(Moment(1s));
     BOOST_TEST(breaker.allows(Moment(1s)));
     BOOST_TEST(breaker.failureShare(Moment(1s)) > 0.1);
     BOOST_TEST(breaker.failureShare(Moment(11s)) < 0.01);
@@ -74,13 +74,13 @@
 {
     auto breaker = CircuitBreaker();
     for (auto count = 0; count < 3; ++count)
-        breaker.broke(Moment(1s));
+        breaker.connectionBroke(Moment(1s));
     BOOST_TEST(!breaker.allows(Moment(1s)));
-    const auto after = breaker.restsUntil();
+    const auto after = breaker.openUntil();
     breaker.succeeded(Moment(900ms), after);
     BOOST_TEST(breaker.open());
     BOOST_TEST(breaker.allows(after));
-    breaker.tried();
+    breaker.requestSent();
     BOOST_TEST(!breaker.allows(after + 1ms));
     breaker.succeeded(after, after + 100ms);
     BOOST_TEST(breaker.allows(after + 100ms));
@@ -92,9 +92,9 @@
 {
     auto breaker = CircuitBreaker();
     for (auto count = 0; count < 3; ++count)
-        breaker.broke(Moment(1s));
-    const auto after = breaker.restsUntil();
-    breaker.tried();
-    breaker.ended(after);
+        breaker.connectionBroke(Moment(1s));
+    const auto after = breaker.openUntil();
+    breaker.requestSent();
+    breaker.endedWithoutResult(after);
     BOOST_TEST(breaker.allows(after + 1ms));
 }
--- a/tests/unit/LapseGrace.cpp
+++ b/tests/unit/ExpiryGrace.cpp
@@ -1,9 +1,9 @@
-#include "decisions/LapseGrace.h"
+#include "decisions/ExpiryGrace.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace eelgrass;
-using eelgrass::decisions::LapseGrace;
+using eelgrass::decisions::ExpiryGrace;
 
 namespace {
 
@@ -17,7 +17,7 @@
 // 3. Taken for an entry that lapsed in an outage it was kept, and sent to.
 BOOST_AUTO_TEST_CASE(what_the_first_reading_named_and_the_next_does_not_is_gone)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(10s));
     BOOST_TEST(grace.gone(at(10s), at(11s)));
 }
@@ -27,7 +27,7 @@
 // They are back two seconds later; what is not by then has left.
 BOOST_AUTO_TEST_CASE(what_lapsed_in_an_outage_has_time_to_return)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(0s));
     const auto listedBefore = at(5s);
     grace.regained(at(20s));
@@ -39,7 +39,7 @@
 // What only a peer told of was never in a reading of ours, and has the same time.
 BOOST_AUTO_TEST_CASE(what_a_peer_told_of_has_time_to_return)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(20s));
     BOOST_TEST(!grace.gone(std::nullopt, at(21s)));
     BOOST_TEST(grace.gone(std::nullopt, at(23s)));
@@ -49,7 +49,7 @@
 // gone at once, though the time for lapsed entries is not over.
 BOOST_AUTO_TEST_CASE(what_returned_and_left_again_is_gone_at_once)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(20s));
     BOOST_TEST(grace.gone(at(21s), at(22s)));
 }
@@ -59,7 +59,7 @@
 // lapsed: what the first reading does not name has left.
 BOOST_AUTO_TEST_CASE(an_outage_of_one_entry_alone_gives_no_grace)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(0s));
     grace.lost(at(15s));
     grace.servedElsewhere(at(19s));
@@ -70,7 +70,7 @@
 // What another entry read long ago says nothing of an outage that began since.
 BOOST_AUTO_TEST_CASE(old_evidence_of_the_store_takes_no_grace_away)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.servedElsewhere(at(10s));
     grace.regained(at(20s));
     BOOST_TEST(!grace.gone(at(5s), at(20s)));
@@ -82,7 +82,7 @@
 // as gone.
 BOOST_AUTO_TEST_CASE(a_peers_last_reading_before_the_outage_takes_no_grace_away)
 {
-    auto grace = LapseGrace();
+    auto grace = ExpiryGrace();
     grace.regained(at(0s));
     grace.lost(at(18s));
     grace.servedElsewhere(at(17s) + 900ms);
--- a/tests/unit/KnownPrompts.cpp
+++ b/tests/unit/KnownPrefixes.cpp
@@ -1,5 +1,5 @@
 // What of prompts a replica has read.
-#include "decisions/KnownPrompts.h"
+#include "decisions/KnownPrefixes.h"
 #include "decisions/ReplicaChoice.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_CASE(a_part_counts_where_all_before_it_are_known)
 {
-    auto known = KnownPrompts(8);
+    auto known = KnownPrefixes(8);
     BOOST_TEST(known.tokens(one) == 0U);
     known.remember(one);
     BOOST_TEST(known.tokens(one) == 6300U);
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_CASE(the_last_ones_are_remembered_and_the_memory_is_bounded)
 {
-    auto known = KnownPrompts(8);
+    auto known = KnownPrefixes(8);
     for (auto id = std::uint64_t(10); id < 1000; ++id)
         known.remember(std::array { SharedPrefix { .id = id, .tokens = 1 } });
     auto remembered = 0;
@@ -47,7 +47,7 @@
 // 2. With one name for both parts it knows nothing of the prompt, and looks no sooner than others.
 BOOST_AUTO_TEST_CASE(a_replica_that_knows_the_first_part_is_sooner)
 {
-    auto known = KnownPrompts(8);
+    auto known = KnownPrefixes(8);
     known.remember(another);
     auto views = std::vector<ReplicaView>(2);
     views[0].id = "replica-0";
@@ -58,13 +58,13 @@
     }
     for (auto id = std::uint64_t(0); id < 20; ++id) {
         const auto need
-            = PlacementNeed { .adapter = "a", .unreadTokens = 800, .sharedTokens = one.back().tokens, .sharedId = id };
+            = PlacementQuery { .adapter = "a", .unreadTokens = 800, .sharedTokens = one.back().tokens, .sharedId = id };
         for (auto& view : views) {
-            view.knownTokens = 0;
+            view.cachedTokens = 0;
             const auto before = expectedStart(view, need);
-            view.knownTokens = known.tokens(one);
+            view.cachedTokens = known.tokens(one);
             BOOST_TEST((expectedStart(view, need) < before));
-            view.knownTokens = one.back().tokens;
+            view.cachedTokens = one.back().tokens;
             BOOST_TEST((expectedStart(view, need) < before));
         }
     }
--- a/tests/unit/LateHere.cpp
+++ b/tests/unit/LateHere.cpp
@@ -50,7 +50,7 @@
             reading_.pop_front();
             queue_.started(request.attempt, done);
             queue_.release(request.attempt);
-            told(done > request.lateAt);
+            told(done > request.firstEventDeadline);
         }
         freeAt_ = std::max(freeAt_, now);
     }
@@ -97,8 +97,8 @@
                 .promptTokens = tokens,
                 .unreadTokens = tokens,
                 .arrivedAt = now,
-                .lateAt = now + aim,
-                .gaveUpAt = now + 4 * aim };
+                .firstEventDeadline = now + aim,
+                .callerDeadline = now + 4 * aim };
             // Each entry prefers other replicas among those that look alike.
             const auto first = (asked % entries) * replicas / entries;
             auto order = std::vector<std::size_t>();
@@ -139,8 +139,8 @@
             .promptTokens = tokens,
             .unreadTokens = tokens,
             .arrivedAt = now,
-            .lateAt = now + left,
-            .gaveUpAt = now + 4 * aim,
+            .firstEventDeadline = now + left,
+            .callerDeadline = now + 4 * aim,
             .elsewhere = true };
     };
     BOOST_TEST(!replica.offer(request("first", 30'000, aim), now));
--- a/tests/unit/LoadPace.cpp
+++ b/tests/unit/LoadConcurrency.cpp
@@ -1,4 +1,4 @@
-#include "decisions/LoadPace.h"
+#include "decisions/LoadConcurrency.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,7 +28,7 @@
     auto loads = std::vector<Load>();
     auto left = std::array<int, replicas>();
     auto coming = std::array<std::size_t, replicas>();
-    auto paces = std::array<LoadPace, replicas>();
+    auto paces = std::array<LoadConcurrency, replicas>();
     left.fill(wantedByEach);
     auto arrived = 0;
     for (auto now = 0.0; now < 500; now += 5) {
@@ -67,7 +67,7 @@
 
 BOOST_AUTO_TEST_CASE(a_load_that_took_long_leaves_one_at_a_time)
 {
-    auto pace = LoadPace();
+    auto pace = LoadConcurrency();
     pace.ended(250ms);
     pace.ended(25ms);
     pace.ended(250ms);
--- a/tests/unit/LoadQueue.cpp
+++ b/tests/unit/LoadQueue.cpp
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(without_a_queue_the_loads_of_all_targets_stay_within_the_rate)
 {
     auto loads = 0;
-    auto pacers = std::vector<LoadPacer>(9, LoadPacer(2, 9));
+    auto pacers = std::vector<LoadRateLimiter>(9, LoadRateLimiter(2, 9));
     for (auto now = 0; now < 90000; now += 100) {
         for (auto& pacer : pacers)
             loads += pacer.take(at(now)) ? 1 : 0;
--- a/tests/unit/PublishPace.cpp
+++ b/tests/unit/PublishPolicy.cpp
@@ -1,5 +1,5 @@
 // How often entries hear of replicas, as fleets grow.
-#include "decisions/PublishPace.h"
+#include "decisions/PublishPolicy.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -23,8 +23,8 @@
 {
     auto random = std::mt19937_64(7);
     auto clock = Duration(0);
-    auto figures = ReplicaFigures { .usable = true, .running = 20, .tokensAhead = 2000, .readRate = 40 };
-    auto sent = ReplicaFigures();
+    auto figures = ReplicaLoad { .usable = true, .running = 20, .tokensAhead = 2000, .readRate = 40 };
+    auto sent = ReplicaLoad();
     auto sentAt = Duration(0);
     auto due = Duration::max();
     auto namesChanged = false;
@@ -37,14 +37,14 @@
             figures.tokensAhead = random() % 9000;
             namesChanged = namesChanged || random() % 12 == 0;
             if (due == Duration::max())
-                due = clock + PublishPace::gather(audience, audienceSize);
+                due = clock + PublishPolicy::batchingDelay(audience, audienceSize);
         }
         const auto gathered = clock >= due;
-        const auto beat = clock - sentAt >= PublishPace::heartbeat(audience);
+        const auto beat = clock - sentAt >= PublishPolicy::heartbeat(audience);
         if (!gathered && !beat)
             continue;
         due = Duration::max();
-        if (!beat && !namesChanged && !PublishPace::worthPublishing(audience, sent, figures))
+        if (!beat && !namesChanged && !PublishPolicy::shouldPublish(audience, sent, figures))
             continue;
         sent = figures;
         sentAt = clock;
@@ -52,15 +52,15 @@
         ++updates;
     }
     const auto agents
-        = audience == Audience::Near ? fleet.agents / fleet.zones : fleet.agents - fleet.agents / fleet.zones;
+        = audience == Audience::SameZone ? fleet.agents / fleet.zones : fleet.agents - fleet.agents / fleet.zones;
     return static_cast<double>(updates * agents) / std::chrono::duration<double>(measured).count();
 }
 
 auto updatesBySecond(const FleetSize& fleet) -> double
 {
     const auto nearEntries = fleet.entries / fleet.zones;
-    return updatesBySecond(fleet, Audience::Near, nearEntries)
-        + updatesBySecond(fleet, Audience::Far, fleet.entries - nearEntries);
+    return updatesBySecond(fleet, Audience::SameZone, nearEntries)
+        + updatesBySecond(fleet, Audience::OtherZone, fleet.entries - nearEntries);
 }
 
 } // namespace
@@ -83,31 +83,31 @@
 // A frozen agent is known by its silence, so it is published of within the time that an entry allows.
 BOOST_AUTO_TEST_CASE(heartbeats_come_in_time_however_many_entries_listen)
 {
-    BOOST_TEST((PublishPace::heartbeat(Audience::Near) * 3 / 2 < Duration(1500ms)));
-    BOOST_TEST((PublishPace::heartbeat(Audience::Far) * 3 / 2 < Duration(4500ms)));
+    BOOST_TEST((PublishPolicy::heartbeat(Audience::SameZone) * 3 / 2 < Duration(1500ms)));
+    BOOST_TEST((PublishPolicy::heartbeat(Audience::OtherZone) * 3 / 2 < Duration(4500ms)));
     for (const auto entries : { 1U, 14U, 68U, 400U })
-        BOOST_TEST((PublishPace::gather(Audience::Asking, entries) <= Duration(400ms)));
+        BOOST_TEST((PublishPolicy::batchingDelay(Audience::RecentRequester, entries) <= Duration(400ms)));
 }
 
 BOOST_AUTO_TEST_CASE(entries_in_the_zone_hear_of_every_change)
 {
-    const auto sent = ReplicaFigures { .usable = true, .running = 20 };
+    const auto sent = ReplicaLoad { .usable = true, .running = 20 };
     auto now = sent;
-    BOOST_TEST(!PublishPace::worthPublishing(Audience::Near, sent, now));
+    BOOST_TEST(!PublishPolicy::shouldPublish(Audience::SameZone, sent, now));
     ++now.running;
-    BOOST_TEST(PublishPace::worthPublishing(Audience::Near, sent, now));
-    BOOST_TEST(PublishPace::worthPublishing(Audience::Asking, sent, now));
-    BOOST_TEST(!PublishPace::worthPublishing(Audience::Far, sent, now));
+    BOOST_TEST(PublishPolicy::shouldPublish(Audience::SameZone, sent, now));
+    BOOST_TEST(PublishPolicy::shouldPublish(Audience::RecentRequester, sent, now));
+    BOOST_TEST(!PublishPolicy::shouldPublish(Audience::OtherZone, sent, now));
 }
 
 // A request is sent across zones to a replica that has just failed, or has no slot any more.
 BOOST_AUTO_TEST_CASE(entries_of_other_zones_hear_of_what_makes_them_choose_otherwise)
 {
-    const auto sent = ReplicaFigures { .usable = true, .running = 20, .tokensAhead = 1000, .spareSlots = 2 };
+    const auto sent = ReplicaLoad { .usable = true, .running = 20, .tokensAhead = 1000, .spareSlots = 2 };
     const auto published = [&](auto change) {
         auto now = sent;
         change(now);
-        return PublishPace::worthPublishing(Audience::Far, sent, now);
+        return PublishPolicy::shouldPublish(Audience::OtherZone, sent, now);
     };
     BOOST_TEST(published([](auto& now) { now.usable = false; }));
     BOOST_TEST(published([](auto& now) { now.spareSlots = 0; }));
--- a/tests/unit/QuotaBucket.cpp
+++ b/tests/unit/QuotaBucket.cpp
@@ -127,7 +127,7 @@
             continue;
         windows.granted(9000, at);
         second.charge(9000, at);
-        second.atMost(boards[first].level(at), at);
+        second.capLevel(boards[first].level(at), at);
     }
     // Within 8 s the count moves three times.
     BOOST_TEST(windows.most() <= 8 * rate.perSecond * 1.1 + rate.burst * 1.1 + 110000);
--- a/tests/unit/ReplicaChoice.cpp
+++ b/tests/unit/ReplicaChoice.cpp
@@ -18,7 +18,7 @@
     return { .id = id, .zone = AvailabilityZone("z"), .batch = 64, .spareSlots = 3 };
 }
 
-auto need() -> PlacementNeed
+auto need() -> PlacementQuery
 {
     return { .adapter = "a1", .zone = AvailabilityZone("z"), .unreadTokens = 800, .sharedTokens = 6000 };
 }
@@ -39,7 +39,7 @@
 {
     auto views = std::vector { replica("one"), replica("two") };
     views[0].holds = views[1].holds = true;
-    views[1].knownTokens = 6000;
+    views[1].cachedTokens = 6000;
     BOOST_TEST(chooseReplica(views, need()).value() == 1U);
 }
 
@@ -171,7 +171,7 @@
                 auto view = replica(names[index]);
                 view.holds = true;
                 view.tokensAhead = random() % 2000;
-                view.knownTokens = sent.contains({ entry, part, index }) ? 6000 : 0;
+                view.cachedTokens = sent.contains({ entry, part, index }) ? 6000 : 0;
                 views.push_back(view);
             }
             auto wanted = need();
@@ -225,7 +225,7 @@
         int fetches = 0;
     };
 
-    explicit ColdFleet(PlacementNeed need)
+    explicit ColdFleet(PlacementQuery need)
         : need_(need)
     {
     }
@@ -321,7 +321,7 @@
         return all;
     }
 
-    PlacementNeed need_;
+    PlacementQuery need_;
     std::vector<Host> hosts_ = hosts();
     std::vector<Host> seen_;
     Outcome outcome_;
--- a/tests/unit/ReportGate.cpp
+++ b/tests/unit/ReportThrottle.cpp
@@ -1,20 +1,20 @@
-#include "decisions/ReportGate.h"
+#include "decisions/ReportThrottle.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace eelgrass;
-using decisions::ReportGate;
+using decisions::ReportThrottle;
 
 namespace {
 
-auto busy(std::size_t work) -> ReportGate::Summary { return { .work = work, .batchLimit = 64 }; }
+auto busy(std::size_t work) -> ReportThrottle::Summary { return { .work = work, .batchLimit = 64 }; }
 
 auto at(int milliseconds) -> Moment { return Moment(std::chrono::milliseconds(milliseconds)); }
 
 /// Pushes while `work` is what the load is at each millisecond.
 auto pushes(const std::function<std::size_t(int)>& work, int milliseconds) -> int
 {
-    auto gate = ReportGate();
+    auto gate = ReportThrottle();
     auto count = 0;
     auto due = std::optional<Moment>();
     for (auto time = 0; time < milliseconds; ++time) {
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(a_target_that_fills_up_leaves_or_loads_is_told)
 {
     BOOST_TEST(pushes([](int time) { return std::size_t(time < 500 ? 1 : 64); }, 2000) == 1);
-    BOOST_TEST((ReportGate().due({ .leaving = true }, at(0)) == 50ms));
-    BOOST_TEST((ReportGate().due({ .resident = { ModelName("a@1#x") } }, at(0)) == 50ms));
-    BOOST_TEST(!ReportGate().due(busy(3), at(0)).has_value());
+    BOOST_TEST((ReportThrottle().due({ .leaving = true }, at(0)) == 50ms));
+    BOOST_TEST((ReportThrottle().due({ .resident = { ModelName("a@1#x") } }, at(0)) == 50ms));
+    BOOST_TEST(!ReportThrottle().due(busy(3), at(0)).has_value());
 }
--- a/tests/unit/RequestQueue.cpp
+++ b/tests/unit/RequestQueue.cpp
@@ -29,7 +29,7 @@
 BOOST_AUTO_TEST_CASE(a_request_that_cannot_start_in_time_is_refused_at_once)
 {
     auto queue = RequestQueue(256, batch);
-    queue.ran(RequestClass("interactive"), 2s);
+    queue.recordRunTime(RequestClass("interactive"), 2s);
     auto refused = std::optional<Refused>();
     auto accepted = 0;
     for (auto number = 0; number < 100 && !refused; ++number) {
@@ -114,7 +114,7 @@
 BOOST_AUTO_TEST_CASE(a_waiting_request_is_given_up_when_it_can_no_longer_be_answered)
 {
     auto queue = RequestQueue(256, batch);
-    queue.ran(RequestClass("interactive"), 2s);
+    queue.recordRunTime(RequestClass("interactive"), 2s);
     BOOST_TEST(admitted(queue.offer(request("late", "m", "interactive", 0, 10000), nowhere, 0, at(0))));
     BOOST_TEST(queue.expire(nowhere, at(7999)).empty());
     const auto expired = queue.expire(nowhere, at(8001));
--- a/tests/unit/SharedReading.cpp
+++ b/tests/unit/SharedReading.cpp
@@ -25,7 +25,7 @@
         const auto since = (asked - Moment()) / sharing.sharedInterval();
         const auto readAt = Moment(sharing.sharedInterval() * since);
         const auto heardAt = asked + wayThere;
-        spared = sharing.sparedUntil(heardAt, heardAt - readAt);
+        spared = sharing.coveredUntil(heardAt, heardAt - readAt);
         knows = readAt;
     }
     return spared - knows;
@@ -48,8 +48,8 @@
 BOOST_AUTO_TEST_CASE(a_reader_whose_own_reading_is_old_spares_nobody)
 {
     const auto now = Moment(20s);
-    BOOST_TEST((sharing.sparedUntil(now, Duration(0)) > now));
-    BOOST_TEST((sharing.sparedUntil(now, bound * 3 / 4) <= now));
+    BOOST_TEST((sharing.coveredUntil(now, Duration(0)) > now));
+    BOOST_TEST((sharing.coveredUntil(now, bound * 3 / 4) <= now));
 }
 
 // While all is well nobody but the reader calls the store: the next answer comes before the last one's time is over.
@@ -57,5 +57,5 @@
 {
     const auto oldest = sharing.sharedInterval() + 2 * wayThere;
     const auto heardAt = Moment(20s);
-    BOOST_TEST((sharing.sparedUntil(heardAt, oldest) > heardAt + sharing.sharedInterval() + 2 * wayThere));
+    BOOST_TEST((sharing.coveredUntil(heardAt, oldest) > heardAt + sharing.sharedInterval() + 2 * wayThere));
 }
--- a/tests/unit/SlotReplay.cpp
+++ b/tests/unit/SlotReplay.cpp
@@ -86,8 +86,8 @@
                                .unreadTokens = 800,
                                .outputTokens = 300,
                                .arrivedAt = now,
-                               .lateAt = now + aim,
-                               .gaveUpAt = now + patience },
+                               .firstEventDeadline = now + aim,
+                               .callerDeadline = now + patience },
             ready(), loadTime, now);
     }
 
@@ -124,7 +124,7 @@
             slots_.pin(ModelName(request.adapter.str()), now);
             queue_.started(request.attempt, now);
             ends_.emplace(now + runTime, request.attempt);
-            (now <= request.lateAt ? outcome_.onTime : outcome_.late) += 1;
+            (now <= request.firstEventDeadline ? outcome_.onTime : outcome_.late) += 1;
         }
     }
 
