--- a/packages/serving/AgentLink.cpp
+++ b/packages/serving/AgentLink.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-// A new session is tried this often: a restarted process is back within a second.
-constexpr auto reconnectAfter = Duration(500ms);
-constexpr auto thousand = 1000.0;
-// When the first packets of a connection are lost, the kernel retransmits them only after seconds; reconnecting is
+// Delay before a lost session is opened again; a restarted agent is back within a second.
+constexpr auto reconnectDelay = Duration(500ms);
+constexpr auto fixedPointScale = 1000.0;
+// If the first packets of a connection are lost, the kernel retransmits them only after seconds; reconnecting is
 // faster.
 constexpr auto openingTimeout = Duration(2s);
-// Without an update for this long the agent is taken for gone: two heartbeats and some, in its zone and in others.
-constexpr auto nearSilence = Duration(1500ms);
-constexpr auto farSilence = Duration(4500ms);
-// An asked agent tells its figures within 400 ms; the rest is for hosts that have turned slow.
+// Without an update for this long the agent counts as gone. Somewhat more than two heartbeats, for entries in the
+// agent's zone and in other zones.
+constexpr auto sameZoneSilence = Duration(1500ms);
+constexpr auto otherZoneSilence = Duration(4500ms);
+// An agent sends its figures within 400 ms of a request; the rest is a margin for slow hosts.
 constexpr auto answerLimit = Duration(1200ms);
-// Changes are gathered for up to this long before entries in its zone and others hear of them.
-constexpr auto nearAge = Duration(400ms);
-constexpr auto farAge = Duration(700ms);
+// An agent batches changes for up to this long before it publishes them to entries of its zone and of other zones.
+constexpr auto sameZoneAge = Duration(400ms);
+constexpr auto otherZoneAge = Duration(700ms);
 
 auto fill(wire::schema::QuotaCharge::Builder into, const QuotaCharge& charge) -> void
 {
@@ -47,7 +48,7 @@
     auto changed(ChangedContext context) -> kj::Promise<void> override
     {
         if (*alive_)
-            link_.learn(context.getParams().getState());
+            link_.applyState(context.getParams().getState());
         return kj::READY_NOW;
     }
 
@@ -97,7 +98,7 @@
     openingTimer_ = loop_.timers().after(openingTimeout, [this] { abandonOpening(); });
     work_ = wire::connectTo(endpoint_.address, endpoint_.port)
                 .then([this](kj::Own<wire::GlibStream>&& stream) { return attach(kj::mv(stream)); })
-                .eagerlyEvaluate([this](kj::Exception&& error) { lost(error.getDescription().cStr()); });
+                .eagerlyEvaluate([this](kj::Exception&& error) { handleSessionLoss(error.getDescription().cStr()); });
 }
 
 auto AgentLink::attach(kj::Own<wire::GlibStream> stream) -> kj::Promise<void>
@@ -110,12 +111,12 @@
     request.setListener(kj::heap<Listener>(*this, alive_));
     auto running = request.initRunning(static_cast<unsigned>(granted_.size()));
     auto index = 0U;
-    for (const auto& [attempt, order] : granted_) {
+    for (const auto& [attempt, admission] : granted_) {
         auto item = running[index++];
         item.setAttempt(attempt.str());
-        item.setAdapter(order.adapter.str());
-        item.setPromptTokens(order.promptTokens);
-        item.setOutputTokens(order.outputTokens);
+        item.setAdapter(admission.adapter.str());
+        item.setPromptTokens(admission.promptTokens);
+        item.setOutputTokens(admission.outputTokens);
     }
     auto attached = request.send();
     // Pipelined with the attachment: the agent cannot admit requests before it has the limits.
@@ -128,7 +129,7 @@
             completeOpening();
             return session_->connection.closed();
         })
-        .then([this] { lost("closed"); });
+        .then([this] { handleSessionLoss("closed"); });
 }
 
 /// The session is open once both the attach answer and the first state update have arrived, in either order.
@@ -145,7 +146,7 @@
 auto AgentLink::abandonOpening() -> void
 {
     if (phase_ == Phase::Opening)
-        lost("timed out while opening");
+        handleSessionLoss("timed out while opening");
 }
 
 auto AgentLink::inUse() const -> bool
@@ -181,7 +182,7 @@
     session_.reset();
 }
 
-auto AgentLink::lost(const std::string& reason) -> void
+auto AgentLink::handleSessionLoss(const std::string& reason) -> void
 {
     if (session_ && session_->client != nullptr)
         log::warn("agent lost", { { "peer", endpoint_.str() }, { "reason", reason } });
@@ -189,10 +190,10 @@
     state_.receivedAt = {};
     for (auto& pending : std::exchange(pendingOpens_, {}))
         pending->reject(KJ_EXCEPTION(DISCONNECTED, "agent unreachable"));
-    // Not from within one of the session's own callbacks.
-    retry_ = loop_.timers().after(Duration(0), [this] {
+    // Deferred, because this may run inside a callback of the session, which must not destroy it.
+    retryTimer_ = loop_.timers().after(Duration(0), [this] {
         dropSession();
-        retry_ = loop_.timers().after(reconnectAfter, [this] {
+        retryTimer_ = loop_.timers().after(reconnectDelay, [this] {
             phase_ = Phase::Closed;
             if (persistent() || !granted_.empty())
                 connect();
@@ -211,7 +212,7 @@
 auto AgentLink::alive() const -> bool
 {
     return session_ && session_->client != nullptr && state_.receivedAt != Moment()
-        && loop_.timers().now() - state_.receivedAt < (caller_.sameZone ? nearSilence : farSilence);
+        && loop_.timers().now() - state_.receivedAt < (caller_.sameZone ? sameZoneSilence : otherZoneSilence);
 }
 
 auto AgentLink::isResponsive(Moment asked) const -> bool
@@ -221,19 +222,19 @@
 
 auto AgentLink::stateAge() const -> Duration
 {
-    return std::min(loop_.timers().now() - state_.receivedAt, caller_.sameZone ? nearAge : farAge);
+    return std::min(loop_.timers().now() - state_.receivedAt, caller_.sameZone ? sameZoneAge : otherZoneAge);
 }
 
-auto AgentLink::learn(wire::schema::ReplicaState::Reader state) -> void
+auto AgentLink::applyState(wire::schema::ReplicaState::Reader state) -> void
 {
     if (!state.getNumbersOnly())
-        learnNames(state);
-    learnFigures(state);
+        applyNames(state);
+    applyFigures(state);
     hooks_.onState();
     completeOpening();
 }
 
-auto AgentLink::learnFigures(wire::schema::ReplicaState::Reader state) -> void
+auto AgentLink::applyFigures(wire::schema::ReplicaState::Reader state) -> void
 {
     state_.usable = state.getUsable();
     state_.running = state.getRunning();
@@ -243,13 +244,13 @@
     state_.memoryUsed = state.getMemoryUsed();
     state_.spareSlots = state.getSpareSlots();
     state_.loadsWaiting = state.getLoadsWaiting();
-    state_.readRate = static_cast<double>(state.getReadRate()) / thousand;
-    state_.failureShare = static_cast<double>(state.getFailures()) / thousand;
+    state_.readRate = static_cast<double>(state.getReadRate()) / fixedPointScale;
+    state_.failureShare = static_cast<double>(state.getFailures()) / fixedPointScale;
     state_.entries = state.getEntries();
     state_.receivedAt = loop_.timers().now();
 }
 
-auto AgentLink::learnNames(wire::schema::ReplicaState::Reader state) -> void
+auto AgentLink::applyNames(wire::schema::ReplicaState::Reader state) -> void
 {
     state_.start = { InstanceId(state.getInstance().cStr()), StartTime(state.getBirth()) };
     state_.resident.clear();
@@ -266,7 +267,7 @@
         state_.suspects.emplace(suspect.getDigest().cStr(), suspect.getBreaks());
 }
 
-auto AgentLink::admit(const AgentAdmissionRequest& order) -> kj::Promise<AdmitResult>
+auto AgentLink::admit(const AgentAdmissionRequest& admission) -> kj::Promise<AdmitResult>
 {
     usedAt_ = loop_.timers().now();
     if (!session_)
@@ -274,27 +275,28 @@
     KJ_IF_MAYBE (client, session_->client) {
         auto call = client->admitRequest();
         auto request = call.initRequest();
-        request.setAttempt(order.attempt.str());
-        request.setAdapter(order.adapter.str());
-        request.setVersion(order.version.value());
-        request.setPromptTokens(order.promptTokens);
-        auto shared = request.initShared(static_cast<unsigned>(order.shared.size()));
-        for (auto index = 0U; index < order.shared.size(); ++index) {
-            shared[index].setId(order.shared[index].id);
-            shared[index].setTokens(order.shared[index].tokens);
+        request.setAttempt(admission.attempt.str());
+        request.setAdapter(admission.adapter.str());
+        request.setVersion(admission.version.value());
+        request.setPromptTokens(admission.promptTokens);
+        auto shared = request.initShared(static_cast<unsigned>(admission.shared.size()));
+        for (auto index = 0U; index < admission.shared.size(); ++index) {
+            shared[index].setId(admission.shared[index].id);
+            shared[index].setTokens(admission.shared[index].tokens);
         }
-        request.setOutputTokens(order.outputTokens);
-        request.setPriority(order.priority);
-        request.setAimMs(static_cast<std::uint32_t>(order.timeUntilLate.count()));
-        request.setLeftMs(static_cast<std::uint32_t>(order.timeUntilGiveUp.count()));
-        request.setElsewhere(order.elsewhere);
-        return call.send().then([this, order, alive = alive_](auto&& response) {
+        request.setOutputTokens(admission.outputTokens);
+        request.setPriority(admission.priority);
+        request.setAimMs(static_cast<std::uint32_t>(admission.timeUntilLate.count()));
+        request.setLeftMs(static_cast<std::uint32_t>(admission.timeUntilGiveUp.count()));
+        request.setElsewhere(admission.elsewhere);
+        return call.send().then([this, admission, alive = alive_](auto&& response) {
             const auto answer = response.getAnswer();
             if (*alive && answer.getGranted())
-                granted_.emplace(order.attempt, order);
-            // Names come first, by an update of the agent: without them there is no replica that the figures are of.
+                granted_.emplace(admission.attempt, admission);
+            // The answer carries figures only. Until an update of the agent has named the replica, it is not known
+            // which start they belong to.
             if (*alive && state_.receivedAt != Moment() && answer.hasState()) {
-                learnFigures(answer.getState());
+                applyFigures(answer.getState());
                 hooks_.onFigures();
             }
             return AdmitResult { answer.getGranted(), AdapterVersion(answer.getVersion()),
--- a/packages/serving/AgentLink.h
+++ b/packages/serving/AgentLink.h
@@ -18,7 +18,7 @@
 
 namespace eelgrass::serving {
 
-/// What the process beside a replica last said of it.
+/// The state of a replica as its agent last reported it.
 struct ReplicaSnapshot {
     ReplicaStart start;
     bool usable = false;
@@ -27,28 +27,29 @@
     std::size_t running = 0;
     std::size_t queued = 0;
     Tokens tokensAhead = 0;
-    /// Prompt tokens that wait for adapters.
+    /// Prompt tokens of requests that wait for their adapters.
     Tokens tokensWaiting = 0;
     Tokens memoryUsed = 0;
     std::size_t spareSlots = 0;
     std::size_t loadsWaiting = 0;
-    /// Prompt tokens that it reads in a millisecond.
+    /// Prompt tokens that the replica reads per millisecond.
     double readRate = 0;
-    /// Share of the last requests that failed or broke off there, whoever sent them.
+    /// Share of the recent requests that failed or broke off at the replica, from any entry; 0 to 1.
     double failureShare = 0;
-    /// The highest configuration that any entry told it of, and the entry to ask for it.
+    /// The highest configuration version that any entry reported to the agent, and the address of an entry that serves
+    /// it.
     ConfigVersion configVersion;
     std::string configHolder;
-    /// The entry that reads the store for those of the agent's zone; empty for none.
+    /// The entry that reads the store on behalf of the entries in the agent's zone; empty for none.
     std::string reader;
-    /// Entries attached there.
+    /// Number of entries attached to the agent.
     std::size_t entries = 0;
-    /// How often requests broke off at replicas, by their digests, as all entries told this agent.
+    /// How often requests broke off at replicas, by request digest, as reported to this agent by all entries.
     std::map<std::string, std::uint32_t> suspects;
     Moment receivedAt {};
 };
 
-/// A request for a place at a replica.
+/// Asks an agent for permission to send a request to its replica.
 struct AgentAdmissionRequest {
     AttemptId attempt;
     AdapterName adapter;
@@ -57,29 +58,29 @@
     std::vector<decisions::SharedPrefix> shared;
     Tokens outputTokens = 0;
     std::uint32_t priority = 5;
-    /// Until the first event is late, and until nobody waits for it.
+    /// Time until the first event misses the latency target, and until the client stops waiting.
     milliseconds timeUntilLate { 0 };
     milliseconds timeUntilGiveUp { 0 };
-    /// Another replica can be asked, should it be late at this one.
+    /// Whether another replica can be asked if this one would be late.
     bool elsewhere = false;
 };
 
 struct AdmitResult {
     bool granted = false;
-    /// The version that the replica holds.
+    /// The adapter version that the replica holds.
     AdapterVersion version;
     milliseconds retryAfter { 0 };
     std::string reason;
-    /// Not granted only because it would be late here; it would begin after `retryAfter`.
+    /// Refused only because the request would be late here; it could start after `retryAfter`.
     bool late = false;
 };
 
-/// What a request counts against its member's quota.
+/// The amount that a request counts against its member's quota.
 struct QuotaCharge {
     MemberId member;
-    /// Less than 0 where something is given back.
+    /// Negative for a refund.
     double amount = 0;
-    /// Where the rate comes from: of two agents' the newer one counts.
+    /// Configuration version that the rate is from; an agent keeps the rate of the highest version.
     ConfigVersion version;
     decisions::QuotaRate rate;
 };
@@ -87,7 +88,7 @@
 struct QuotaDecision {
     bool granted = false;
     milliseconds retryAfter { 0 };
-    /// What is left for others.
+    /// Credit that remains for other requests.
     double level = 0;
 };
 
@@ -100,17 +101,18 @@
     double readerWeight = 0;
 };
 
-/// An entry's session with the process beside one replica: admission there, and what it pushes about the replica.
+/// An entry's session with the agent of one replica. Carries admission requests to the agent, and updates on the
+/// replica's state from it.
 ///
 /// A persistent session stays open; an on-demand session is closed when idle.
 class AgentLink {
 public:
     struct Hooks {
         std::function<void()> onState;
-        /// An answer told the replica's figures.
+        /// Called when the answer to an admission request carried the replica's figures.
         std::function<void()> onFigures;
     };
-    /// Who is at this end, and whether the agent is in the same zone: others hear of it less often.
+    /// The entry at this end. Agents send updates less often to entries of other zones.
     struct Caller {
         std::string entry;
         AvailabilityZone zone {};
@@ -124,7 +126,7 @@
     /// Opens the session if the policy is persistent, and lets it be closed when idle otherwise.
     auto setSessionPolicy(decisions::SessionPolicy policy) -> void;
     [[nodiscard]] auto isHub() const noexcept -> bool { return policy_ == decisions::SessionPolicy::Hub; }
-    /// Whether it can be asked now.
+    /// Whether the session is open and the agent's last update is recent.
     [[nodiscard]] auto alive() const -> bool;
     /// Whether `open` may succeed: the session is on demand, and closed or opening within its time limit.
     [[nodiscard]] auto mayOpen() const -> bool;
@@ -133,26 +135,28 @@
     /// Drops a session that is still opening when the caller's timeout expires.
     auto abandonOpening() -> void;
     [[nodiscard]] auto inSameZone() const noexcept -> bool { return caller_.sameZone; }
-    /// Whether it said something after `asked`, or still has time to. An agent tells whoever asks it of its figures
-    /// within half a second, also while the request waits; one that does not is frozen or cut off.
+    /// Whether the agent has sent an update since `asked` or still has time to. An agent sends its figures to an entry
+    /// within half a second of a request from it, even while the request waits; one that does not is frozen or cut off.
     [[nodiscard]] auto isResponsive(Moment asked) const -> bool;
-    /// It did not answer: it is not asked again before its next update.
+    /// Marks the agent as not responding: it is not asked again before its next update.
     auto markUnresponsive() -> void { state_.receivedAt = {}; }
-    /// By how much its figures may be wrong: it tells what matters within that.
+    /// How far the figures may be out of date: the agent publishes significant changes within this time.
     [[nodiscard]] auto stateAge() const -> Duration;
     [[nodiscard]] auto state() const noexcept -> const ReplicaSnapshot& { return state_; }
-    /// Rejects when the session is lost; drop the promise and call `release` to take the request back.
-    [[nodiscard]] auto admit(const AgentAdmissionRequest& order) -> kj::Promise<AdmitResult>;
+    /// Asks for admission. The promise is rejected when the session is lost; to withdraw the request, drop the promise
+    /// and call `release`.
+    [[nodiscard]] auto admit(const AgentAdmissionRequest& admission) -> kj::Promise<AdmitResult>;
     auto started(const AttemptId& attempt) -> void;
     auto release(const AttemptId& attempt, RunEnd end = RunEnd::Plain) -> void;
-    /// A request of this digest broke off at a replica, or ran to its end after it had.
+    /// Reports that a request with this digest broke off at a replica, or completed after it had broken off before.
     auto reportSuspect(const std::string& digest, bool broke) -> void;
-    /// Counts a request against its member's quota, if there is credit. Rejects when the session is lost.
+    /// Counts a request against its member's quota if there is credit. The promise is rejected when the session is
+    /// lost.
     [[nodiscard]] auto takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaDecision>;
-    /// Another agent granted it and had `level` left, or it is given back.
+    /// Reports a charge that another agent granted and that left it with `level`, or a refund.
     auto noteQuota(const QuotaCharge& charge, double level) -> void;
     [[nodiscard]] auto endpoint() const noexcept -> const Endpoint& { return endpoint_; }
-    /// Kept, since every request of a limited member ranks all agents by it.
+    /// Cached, because each request of a member with a quota ranks all agents by it.
     [[nodiscard]] auto endpointHash() const noexcept -> std::uint64_t { return endpointHash_; }
     /// Sends the notice now and on every new session.
     auto notify(const EntryNotice& notice) -> void;
@@ -176,10 +180,10 @@
     auto dropSession() -> void;
     auto connect() -> void;
     auto attach(kj::Own<wire::GlibStream> stream) -> kj::Promise<void>;
-    auto lost(const std::string& reason) -> void;
-    auto learn(wire::schema::ReplicaState::Reader state) -> void;
-    auto learnFigures(wire::schema::ReplicaState::Reader state) -> void;
-    auto learnNames(wire::schema::ReplicaState::Reader state) -> void;
+    auto handleSessionLoss(const std::string& reason) -> void;
+    auto applyState(wire::schema::ReplicaState::Reader state) -> void;
+    auto applyFigures(wire::schema::ReplicaState::Reader state) -> void;
+    auto applyNames(wire::schema::ReplicaState::Reader state) -> void;
     auto sendNotice(wire::schema::AgentSession::Client& client) -> void;
 
     struct Session {
@@ -206,7 +210,7 @@
     Moment openingSince_ {};
     Moment usedAt_ {};
     std::vector<kj::Own<kj::PromiseFulfiller<void>>> pendingOpens_;
-    Timer retry_;
+    Timer retryTimer_;
     Timer openingTimer_;
     Timer idleTimer_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/packages/serving/AgentOrders.cpp
+++ b/packages/serving/AgentOrders.cpp
@@ -1,4 +1,4 @@
-// The orders that an agent gives its replica, and what becomes of them: the second half of ReplicaAgent.
+// The part of ReplicaAgent that sends orders to the replica and tracks their outcome.
 #include "base/Log.h"
 #include "serving/ReplicaAgent.h"
 #include "serving/detail/SlotNames.h"
@@ -11,46 +11,49 @@
 
 using detail::modelName;
 
-// An order that is not answered by now is taken for lost; the next report tells what became of it.
+// An order without an answer after this time counts as lost; the next report shows whether it was carried out.
 constexpr auto orderTimeout = Duration(100ms);
-// Base models ordered by this host: all hosts together must stay under what the weight store allows.
-constexpr auto baseInterval = Duration(5s);
-// An order that waits for runs at the replica is looked at anew after this; runs are over by then.
-constexpr auto pendingLimit = Duration(3s);
-// After a conflict, so that a replica that is at work on another order is not asked in a circle.
-constexpr auto conflictRest = Duration(40ms);
+// Minimum time between two base model orders of this host. All hosts together must stay below the rate of base model
+// loads that the weight store allows.
+constexpr auto baseModelInterval = Duration(5s);
+// An order that waits at the replica for running requests is dropped from the pending ones after this time, so that it
+// can be sent again; the requests have ended by then.
+constexpr auto maxPendingTime = Duration(3s);
+// No order is sent for this long after a conflict, so that a replica which is carrying out another order is not sent
+// orders in a tight loop.
+constexpr auto conflictPause = Duration(40ms);
 
 } // namespace
 
-/// Forgets the orders that have been carried out, and those that will not be any more.
-auto ReplicaAgent::settlePending() -> void
+/// Removes pending orders that have been carried out, and those that have been pending for too long.
+auto ReplicaAgent::prunePendingOrders() -> void
 {
     const auto now = loop_.timers().now();
-    std::erase_if(unloading_, [&](const auto& order) {
-        return !report_->resident.contains(order.first) || now - order.second > pendingLimit;
+    std::erase_if(pendingUnloads_, [&](const auto& order) {
+        return !report_->resident.contains(order.first) || now - order.second > maxPendingTime;
     });
-    std::erase_if(replacing_, [&](const auto& order) {
-        return versionOf(order.first) >= wantedVersions_[order.first] || now - order.second > pendingLimit;
+    std::erase_if(pendingReplacements_, [&](const auto& order) {
+        return residentVersion(order.first) >= wantedVersions_[order.first] || now - order.second > maxPendingTime;
     });
-    std::erase_if(loads_, [&](const auto& entry) {
+    std::erase_if(pendingLoads_, [&](const auto& entry) {
         const auto& [adapter, load] = entry;
-        const auto there = report_->resident.contains(adapter);
-        if (there && load.fromStore)
-            pace_.ended(now - load.since);
-        return there || now - load.since > pendingLimit;
+        const auto loaded = report_->resident.contains(adapter);
+        if (loaded && load.fromStore)
+            loadConcurrency_.ended(now - load.since);
+        return loaded || now - load.since > maxPendingTime;
     });
-    latelyHeld_.note(report_->resident, decisions::RecentAdapters::perSlot * slotCount_);
-    for (const auto& [adapter, since] : unloading_)
+    recentAdapters_.note(report_->resident, decisions::RecentAdapters::perSlot * slotCount_);
+    for (const auto& [adapter, since] : pendingUnloads_)
         slots_->unloadStarted(modelName(adapter));
 }
 
-auto ReplicaAgent::baseOrder() -> std::optional<hosting::ReplicaOrder>
+auto ReplicaAgent::baseModelOrder() -> std::optional<hosting::ReplicaOrder>
 {
     const auto now = loop_.timers().now();
-    const auto recent = baseOrderedAt_ != Moment() && now - baseOrderedAt_ < baseInterval;
-    if (base_.empty() || report_->orderUnderWay || recent)
+    const auto recent = baseModelOrderedAt_ != Moment() && now - baseModelOrderedAt_ < baseModelInterval;
+    if (base_.empty() || report_->orderInProgress || recent)
         return std::nullopt;
-    baseOrderedAt_ = now;
+    baseModelOrderedAt_ = now;
     return hosting::ReplicaOrder { .model = base_ };
 }
 
@@ -59,26 +62,26 @@
     if (!slots_)
         return std::nullopt;
     if (!report_->hasModel)
-        return baseOrder();
+        return baseModelOrder();
     const auto now = loop_.timers().now();
     const auto spare = spareSlots();
-    for (const auto& candidate : wanted_) {
+    for (const auto& candidate : wantedAdapters_) {
         if (!decisions::mayTakeSlot(candidate, spare))
             break;
         const auto& adapter = candidate.adapter;
         const auto name = modelName(adapter);
-        if (replacing_.contains(adapter) || unloading_.contains(adapter))
+        if (pendingReplacements_.contains(adapter) || pendingUnloads_.contains(adapter))
             continue;
         if (slots_->ready(name)) {
-            // It is there in an older version. The replica replaces it when the runs on it have ended.
+            // An older version is loaded. The replica replaces it once the requests running on it have ended.
             return hosting::ReplicaOrder { .model = base_, .adapter = adapter, .version = wantedVersions_[adapter] };
         }
-        // No slot is emptied for a load that may not begin.
-        if (report_->coming.size() >= pace_.limit(candidate.late))
+        // A slot is not emptied for a load that may not start yet.
+        if (report_->loading.size() >= loadConcurrency_.limit(candidate.late))
             continue;
         const auto answer = slots_->request(name, now, {}, [this](const ModelName& model) {
             const auto held = AdapterName(model.str());
-            return queue_.waits(held) || replacing_.contains(held);
+            return queue_.waits(held) || pendingReplacements_.contains(held);
         });
         if (std::holds_alternative<decisions::LoadNow>(answer)) {
             return hosting::ReplicaOrder { .model = base_, .adapter = adapter, .version = wantedVersions_[adapter] };
@@ -93,87 +96,91 @@
     return std::nullopt;
 }
 
-/// An order without an answer may be carried out seconds later, by the replica's next start under the same name, whose
-/// count of orders may just meet its condition: a load too many crashes it. So orders of each start that we see bear a
-/// higher token than those before, below all tokens of the next process here. No call to the store is needed for it.
-auto ReplicaAgent::orderFence() const -> Epoch
+/// Returns the agent's token from the store in the upper bits and the number of replica starts seen to end in the
+/// lower. An order whose answer was lost may be carried out seconds later, after the replica restarted under the same
+/// name and happens to have accepted as many orders as the precondition says; one load too many crashes it. Therefore
+/// orders to each later start carry a higher token, which is still below all tokens of this agent's next process. This
+/// takes no call to the store.
+auto ReplicaAgent::orderFencingToken() const -> Epoch
 {
-    constexpr auto startBits = 16U;
-    constexpr auto mostStarts = (std::uint64_t(1) << startBits) - 1;
-    return Epoch((token_.value() << startBits) + std::min(startsSeen_, mostStarts));
+    constexpr auto lossBits = 16U;
+    constexpr auto maxLosses = (std::uint64_t(1) << lossBits) - 1;
+    return Epoch((fencingToken_.value() << lossBits) + std::min(replicaLosses_, maxLosses));
 }
 
-auto ReplicaAgent::order(hosting::ReplicaOrder order) -> void
+auto ReplicaAgent::sendOrder(hosting::ReplicaOrder order) -> void
 {
-    ordering_ = true;
+    orderInFlight_ = true;
     order.precondition = report_->sequence;
     order.startTime = report_->startTime;
     order.holder = settings_.host.name;
-    order.fence = orderFence();
+    order.fence = orderFencingToken();
     const auto name = modelName(order.adapter);
     if (order.kind == hosting::ReplicaOrder::Kind::Unload)
         slots_->unloadStarted(name);
     else if (!order.adapter.empty())
         slots_->loadStarted(name, loop_.timers().now());
-    orderWork_ = replica_.call(hosting::orderCall(order, instance_, orderTimeout))
-                     .then([this, order](wire::HttpAnswer&& answer) { ordered(order, answer); },
-                         [this, order](kj::Exception&& error) { orderFailed(order, error.getDescription().cStr()); })
-                     .eagerlyEvaluate([](kj::Exception&& error) {
-                         log::error("order failed", { { "reason", error.getDescription().cStr() } });
-                     });
+    orderWork_
+        = replica_.call(hosting::orderCall(order, instance_, orderTimeout))
+              .then([this, order](wire::HttpAnswer&& answer) { handleOrderAnswer(order, answer); },
+                  [this, order](kj::Exception&& error) { handleOrderFailure(order, error.getDescription().cStr()); })
+              .eagerlyEvaluate([](kj::Exception&& error) {
+                  log::error("order failed", { { "reason", error.getDescription().cStr() } });
+              });
 }
 
-auto ReplicaAgent::ordered(const hosting::ReplicaOrder& order, const wire::HttpAnswer& answer) -> void
+auto ReplicaAgent::handleOrderAnswer(const hosting::ReplicaOrder& order, const wire::HttpAnswer& answer) -> void
 {
-    ordering_ = false;
+    orderInFlight_ = false;
     const auto outcome = hosting::orderOutcome(answer);
     const auto unload = order.kind == hosting::ReplicaOrder::Kind::Unload;
-    log::info("order",
+    log::info("order response",
         { { "operation", unload ? "unload" : "load" }, { "adapter", order.adapter.str() },
             { "sequence", std::to_string(order.precondition) }, { "status", std::to_string(answer.status) },
             { "reason", answer.status >= 300 ? answer.body.substr(0, 200) : std::string() } });
     const auto now = loop_.timers().now();
-    const auto counted = outcome == hosting::OrderOutcome::Accepted || outcome == hosting::OrderOutcome::Holds;
-    // What an earlier start accepted says nothing of this one, which counts anew.
-    const auto current = report_ && order.startTime == report_->startTime;
-    if (counted && current) {
+    const auto sequenceAdvanced
+        = outcome == hosting::OrderOutcome::Accepted || outcome == hosting::OrderOutcome::Completed;
+    // An order accepted by an earlier start does not count for the current one, which counts from 0.
+    const auto fromCurrentStart = report_ && order.startTime == report_->startTime;
+    if (sequenceAdvanced && fromCurrentStart) {
         report_->sequence = std::max(report_->sequence, order.precondition + 1);
-        orderedAt_ = now;
+        orderCountedAt_ = now;
     }
-    if (outcome == hosting::OrderOutcome::Accepted && current)
-        noteAccepted(order);
+    if (outcome == hosting::OrderOutcome::Accepted && fromCurrentStart)
+        recordAcceptedOrder(order);
     if (outcome == hosting::OrderOutcome::Conflict) {
-        ordersRestUntil_ = now + conflictRest;
-        orderRest_ = loop_.timers().after(conflictRest, [this] { act(); });
+        ordersPausedUntil_ = now + conflictPause;
+        orderPauseTimer_ = loop_.timers().after(conflictPause, [this] { runPendingWork(); });
     }
     if (outcome == hosting::OrderOutcome::OtherInstance) {
-        forgetReplica("another instance");
+        resetReplicaState("another instance");
     }
     if (outcome == hosting::OrderOutcome::Fenced) {
-        fence_ = Fence::Wanted;
-        fenceTimer_ = loop_.timers().after(Duration(0), [this] { raiseFence(); });
+        fencingState_ = FencingState::Needed;
+        fencingTimer_ = loop_.timers().after(Duration(0), [this] { acquireFencingToken(); });
     }
-    report();
+    requestReport();
 }
 
-auto ReplicaAgent::noteAccepted(const hosting::ReplicaOrder& order) -> void
+auto ReplicaAgent::recordAcceptedOrder(const hosting::ReplicaOrder& order) -> void
 {
     const auto now = loop_.timers().now();
     if (order.kind == hosting::ReplicaOrder::Kind::Unload)
-        unloading_[order.adapter] = now;
+        pendingUnloads_[order.adapter] = now;
     else if (report_->resident.contains(order.adapter))
-        replacing_[order.adapter] = now;
+        pendingReplacements_[order.adapter] = now;
     else if (!order.adapter.empty())
-        loads_[order.adapter] = { .since = now, .fromStore = !latelyHeld_.contains(order.adapter) };
+        pendingLoads_[order.adapter] = { .since = now, .fromStore = !recentAdapters_.contains(order.adapter) };
 }
 
-auto ReplicaAgent::orderFailed(const hosting::ReplicaOrder& order, const std::string& reason) -> void
+auto ReplicaAgent::handleOrderFailure(const hosting::ReplicaOrder& order, const std::string& reason) -> void
 {
-    ordering_ = false;
+    orderInFlight_ = false;
     log::warn("order without answer",
         { { "adapter", order.adapter.str() }, { "sequence", std::to_string(order.precondition) },
             { "reason", reason } });
-    report();
+    requestReport();
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/AgentRole.cpp
+++ b/packages/serving/AgentRole.cpp
@@ -19,19 +19,19 @@
 
 } // namespace
 
-/// One entry's session. Its end takes back all that it was granted.
+/// The session of one entry. When it ends, everything granted to the entry is released.
 class AgentRole::Session final : public wire::schema::AgentSession::Server {
 public:
-    Session(AgentRole& role, std::string entry, bool near)
+    Session(AgentRole& role, std::string entry, bool sameZone)
         : role_(role)
         , entry_(std::move(entry))
-        , near_(near)
+        , sameZone_(sameZone)
     {
     }
     ~Session() noexcept(false)
     {
         role_.publisher_.remove(this);
-        if (role_.nearEntries_.erase(this) > 0)
+        if (role_.sameZoneEntries_.erase(this) > 0)
             role_.publisher_.changed();
         for (const auto& attempt : std::exchange(attempts_, {}))
             role_.agent_.release(attempt);
@@ -55,10 +55,10 @@
         const auto attempt = AttemptId(request.getAttempt().cStr());
         const auto now = role_.loop_.timers().now();
         auto pair = kj::newPromiseAndFulfiller<ReplicaAgent::Decision>();
-        role_.waiting_.erase(attempt);
-        role_.waiting_.emplace(attempt, Waiting { this, kj::mv(pair.fulfiller) });
+        role_.pendingAdmissions_.erase(attempt);
+        role_.pendingAdmissions_.emplace(attempt, PendingAdmission { this, kj::mv(pair.fulfiller) });
         attempts_.insert(attempt);
-        role_.publisher_.asked(this);
+        role_.publisher_.noteRequest(this);
         auto shared = std::vector<decisions::SharedPrefix>();
         for (auto prefix : request.getShared())
             shared.push_back({ prefix.getId(), prefix.getTokens() });
@@ -97,7 +97,7 @@
     {
         const auto attempt = AttemptId(context.getParams().getAttempt().cStr());
         attempts_.erase(attempt);
-        role_.waiting_.erase(attempt);
+        role_.pendingAdmissions_.erase(attempt);
         role_.agent_.release(attempt, static_cast<RunEnd>(context.getParams().getEnd()));
         role_.publisher_.changed();
         return kj::READY_NOW;
@@ -106,11 +106,11 @@
     auto configured(ConfiguredContext context) -> kj::Promise<void> override
     {
         const auto params = context.getParams();
-        if (near_) {
-            role_.nearEntries_[this] = { params.getHolder().cStr(), params.getReaderWeight() };
+        if (sameZone_) {
+            role_.sameZoneEntries_[this] = { params.getHolder().cStr(), params.getReaderWeight() };
             role_.publisher_.changed();
         }
-        role_.learnConfiguration(params.getVersion(), params.getHolder().cStr(), params.getLimits());
+        role_.applyConfiguration(params.getVersion(), params.getHolder().cStr(), params.getLimits());
         role_.publisher_.publishInitial(this);
         return kj::READY_NOW;
     }
@@ -130,7 +130,7 @@
     {
         const auto charge = context.getParams().getCharge();
         const auto now = role_.loop_.timers().now();
-        auto& bucket = role_.quotas_.of(charge, now);
+        auto& bucket = role_.quotas_.bucketFor(charge, now);
         const auto verdict = bucket.take(charge.getAmount(), now);
         auto results = context.getResults();
         results.setGranted(verdict.granted);
@@ -144,7 +144,7 @@
     {
         const auto charge = context.getParams().getCharge();
         const auto now = role_.loop_.timers().now();
-        auto& bucket = role_.quotas_.of(charge, now);
+        auto& bucket = role_.quotas_.bucketFor(charge, now);
         bucket.charge(charge.getAmount(), now);
         if (charge.getAmount() > 0)
             bucket.capLevel(context.getParams().getLevel(), now);
@@ -154,7 +154,7 @@
 private:
     AgentRole& role_;
     std::string entry_;
-    bool near_;
+    bool sameZone_;
     std::set<AttemptId> attempts_;
 };
 
@@ -168,11 +168,11 @@
     auto attach(AttachContext context) -> kj::Promise<void> override
     {
         const auto params = context.getParams();
-        const auto near = role_.settings_.host.zone.view() == params.getZone().cStr();
-        auto session = kj::heap<Session>(role_, params.getEntry().cStr(), near);
+        const auto sameZone = role_.settings_.host.zone.view() == params.getZone().cStr();
+        auto session = kj::heap<Session>(role_, params.getEntry().cStr(), sameZone);
         for (auto running : params.getRunning())
             session->adopt(running);
-        role_.publisher_.add(session.get(), params.getListener(), near);
+        role_.publisher_.add(session.get(), params.getListener(), sameZone);
         log::info("entry attached", { { "peer", params.getEntry().cStr() } });
         context.getResults().setSession(kj::mv(session));
         return kj::READY_NOW;
@@ -189,11 +189,12 @@
     , store_(loop.timers(), settings_.host.store, storeCallCounter(metrics_))
     , agent_(
           loop, settings_, store_,
-          [this](const AttemptId& attempt, const ReplicaAgent::Decision& decision) { decided(attempt, decision); },
+          [this](
+              const AttemptId& attempt, const ReplicaAgent::Decision& decision) { handleDecision(attempt, decision); },
           [this] { publisher_.changed(); })
     , publisher_(loop,
           { .figures = [this] { return figures(); },
-              .namesText = [this] { return namesText(); },
+              .namesFingerprint = [this] { return namesFingerprint(); },
               .fillNames = [this](wire::schema::ReplicaState::Builder state) { fillNames(state); } })
     , connections_(loop.timers())
 {
@@ -208,7 +209,7 @@
     metricsServer_ = serveMetrics(loop_.timers(), { settings_.host.address, settings_.host.metricsPort }, metrics_);
     agent_.start();
     publisher_.start();
-    limitsTimer_ = loop_.timers().every(limitsWait, [this] { readLimits(); });
+    limitsTimer_ = loop_.timers().every(limitsWait, [this] { requestLimits(); });
     log::info("listening",
         { { "port", std::to_string(listener_->port()) }, { "version", EELGRASS_VERSION },
             { "peer", settings_.replica.str() } });
@@ -216,7 +217,7 @@
 
 auto AgentRole::stop() -> void
 {
-    // Entries go on without: the replica serves what it holds.
+    // Entries continue without this agent: they send requests for what the replica already holds.
     log::info("stopped", { { "sessions", std::to_string(publisher_.entries()) } });
     loop_.quit();
 }
@@ -227,9 +228,9 @@
     log::info("settings reloaded", {});
 }
 
-auto AgentRole::decided(const AttemptId& attempt, const ReplicaAgent::Decision& decision) -> void
+auto AgentRole::handleDecision(const AttemptId& attempt, const ReplicaAgent::Decision& decision) -> void
 {
-    const auto found = waiting_.find(attempt);
+    const auto found = pendingAdmissions_.find(attempt);
     log::info(decision.granted ? "granted" : "not granted",
         { { "request", attempt.str() }, { "replica", agent_.instance().str() }, { "reason", decision.reason },
             { "waited_ms", std::to_string(decision.waited.count() / 1000) },
@@ -239,14 +240,14 @@
             { "running", std::to_string(agent_.queue().running()) },
             { "queued", std::to_string(agent_.queue().queued()) } });
     metrics_.count("eelgrass_admissions_total", { { "granted", decision.granted ? "yes" : "no" } });
-    if (found == waiting_.end())
+    if (found == pendingAdmissions_.end())
         return;
-    auto waiting = std::move(found->second);
-    waiting_.erase(found);
-    waiting.fulfiller->fulfill(ReplicaAgent::Decision(decision));
+    auto pending = std::move(found->second);
+    pendingAdmissions_.erase(found);
+    pending.fulfiller->fulfill(ReplicaAgent::Decision(decision));
 }
 
-auto AgentRole::learnConfiguration(
+auto AgentRole::applyConfiguration(
     std::uint64_t version, const std::string& holder, capnp::List<wire::schema::EngineLimits>::Reader limits) -> void
 {
     if (ConfigVersion(version) > configVersion_) {
@@ -263,18 +264,18 @@
     }
 }
 
-auto AgentRole::readLimits() -> void
+auto AgentRole::requestLimits() -> void
 {
     if (limitsKnown_)
         return limitsTimer_.cancel();
     limitsWork_ = store_.readRow("op", "config")
-                      .then([this](hosting::StoreAnswer&& answer) { takeLimits(answer); })
+                      .then([this](hosting::StoreAnswer&& answer) { applyStoredLimits(answer); })
                       .eagerlyEvaluate([](kj::Exception&& error) {
                           log::error("reading limits failed", { { "reason", error.getDescription().cStr() } });
                       });
 }
 
-auto AgentRole::takeLimits(const hosting::StoreAnswer& answer) -> void
+auto AgentRole::applyStoredLimits(const hosting::StoreAnswer& answer) -> void
 {
     if (limitsKnown_ || answer.rows.empty())
         return;
@@ -302,7 +303,7 @@
 auto AgentRole::figures() const -> decisions::ReplicaLoad
 {
     const auto& queue = agent_.queue();
-    return { .usable = agent_.admits(),
+    return { .usable = agent_.acceptsRequests(),
         .running = queue.running(),
         .queued = queue.queued(),
         .tokensAhead = agent_.tokensAhead(),
@@ -316,18 +317,19 @@
 
 auto AgentRole::reader() const -> std::string
 {
-    if (nearEntries_.size() < decisions::SharedReading::fewestEntries)
+    if (sameZoneEntries_.size() < decisions::SharedReading::fewestEntries)
         return {};
-    const auto first = std::min_element(nearEntries_.begin(), nearEntries_.end(), [](const auto& l, const auto& r) {
-        const auto& [left, right] = std::tie(l.second, r.second);
-        if (left.readerWeight != right.readerWeight)
-            return left.readerWeight > right.readerWeight;
-        return decisions::nameHash(left.holder) < decisions::nameHash(right.holder);
-    });
+    const auto first
+        = std::min_element(sameZoneEntries_.begin(), sameZoneEntries_.end(), [](const auto& l, const auto& r) {
+              const auto& [left, right] = std::tie(l.second, r.second);
+              if (left.readerWeight != right.readerWeight)
+                  return left.readerWeight > right.readerWeight;
+              return decisions::nameHash(left.holder) < decisions::nameHash(right.holder);
+          });
     return first->second.holder;
 }
 
-auto AgentRole::namesText() const -> std::string
+auto AgentRole::namesFingerprint() const -> std::string
 {
     auto text = agent_.instance().str() + "|" + std::to_string(agent_.startTime().value()) + "|"
         + std::to_string(configVersion_.value()) + "|" + configHolder_ + "|" + reader();
--- a/packages/serving/AgentRole.h
+++ b/packages/serving/AgentRole.h
@@ -2,7 +2,7 @@
 
 #include "decisions/Quarantine.h"
 #include "router/Metrics.h"
-#include "serving/QuotaBoard.h"
+#include "serving/QuotaBuckets.h"
 #include "serving/ReplicaAgent.h"
 #include "serving/StatePublisher.h"
 #include "serving/TextServer.h"
@@ -15,7 +15,8 @@
 
 namespace eelgrass::serving {
 
-/// `--role=agent`: the process beside a replica, which entries ask for a place there.
+/// `--role=agent`: runs on the host of a replica, admits the requests that entries want to send there, and publishes
+/// the replica's state to them.
 class AgentRole {
 public:
     AgentRole(wire::MainLoop& loop, AgentSettings settings);
@@ -30,23 +31,23 @@
 private:
     class Door;
     class Session;
-    struct Waiting {
+    struct PendingAdmission {
         Session* session;
         kj::Own<kj::PromiseFulfiller<ReplicaAgent::Decision>> fulfiller;
     };
 
-    auto decided(const AttemptId& attempt, const ReplicaAgent::Decision& decision) -> void;
+    auto handleDecision(const AttemptId& attempt, const ReplicaAgent::Decision& decision) -> void;
     [[nodiscard]] auto figures() const -> decisions::ReplicaLoad;
     auto fillNames(wire::schema::ReplicaState::Builder state) const -> void;
-    [[nodiscard]] auto namesText() const -> std::string;
-    /// The entry of this zone that is to read the store for the others; the same at every agent that sees the same
-    /// ones.
+    [[nodiscard]] auto namesFingerprint() const -> std::string;
+    /// Returns the address of the entry that is to read the store for its zone. All agents to which the same entries
+    /// are attached select the same one. Empty if there are too few entries.
     [[nodiscard]] auto reader() const -> std::string;
-    /// Reads the service's limits from the store if no entry has sent them: without them the replica loads no base
-    /// model after a power loss.
-    auto readLimits() -> void;
-    auto takeLimits(const hosting::StoreAnswer& answer) -> void;
-    auto learnConfiguration(std::uint64_t version, const std::string& holder,
+    /// Reads the service's limits from the store if no entry has sent them. Without them the replica would not load its
+    /// base model after a power loss.
+    auto requestLimits() -> void;
+    auto applyStoredLimits(const hosting::StoreAnswer& answer) -> void;
+    auto applyConfiguration(std::uint64_t version, const std::string& holder,
         capnp::List<wire::schema::EngineLimits>::Reader limits) -> void;
 
     wire::MainLoop& loop_;
@@ -54,19 +55,19 @@
     router::Metrics metrics_;
     hosting::Store store_;
     ReplicaAgent agent_;
-    std::map<AttemptId, Waiting> waiting_;
+    std::map<AttemptId, PendingAdmission> pendingAdmissions_;
     StatePublisher publisher_;
     /// An attached entry of this zone: its peer address and its preference as the zone's reader.
-    struct NearEntry {
+    struct SameZoneEntry {
         std::string holder;
         double readerWeight = 0;
     };
-    std::map<const Session*, NearEntry> nearEntries_;
+    std::map<const Session*, SameZoneEntry> sameZoneEntries_;
     bool limitsKnown_ = false;
     kj::Maybe<kj::Promise<void>> limitsWork_;
     Timer limitsTimer_;
     decisions::Quarantine suspects_;
-    QuotaBoard quotas_;
+    QuotaBuckets quotas_;
     ConfigVersion configVersion_;
     std::string configHolder_;
     std::unique_ptr<wire::Listener> listener_;
--- a/packages/serving/QuotaBoard.cpp
+++ b/packages/serving/QuotaBuckets.cpp
@@ -1,8 +1,8 @@
-#include "serving/QuotaBoard.h"
+#include "serving/QuotaBuckets.h"
 
 namespace eelgrass::serving {
 
-auto QuotaBoard::of(wire::schema::QuotaCharge::Reader charge, Moment now) -> decisions::QuotaBucket&
+auto QuotaBuckets::bucketFor(wire::schema::QuotaCharge::Reader charge, Moment now) -> decisions::QuotaBucket&
 {
     auto& account = accounts_[MemberId(charge.getMember().cStr())];
     const auto version = ConfigVersion(charge.getConfigVersion());
--- a/packages/serving/QuotaBoard.h
+++ b/packages/serving/QuotaBuckets.h
@@ -8,11 +8,11 @@
 
 namespace eelgrass::serving {
 
-/// What an agent counts for the members whose quotas entries ask it for.
-class QuotaBoard {
+/// The quota buckets of the members whose requests entries count at this agent.
+class QuotaBuckets {
 public:
-    /// The bucket of the member that the charge names, by the rate of the newest configuration that any entry told.
-    [[nodiscard]] auto of(wire::schema::QuotaCharge::Reader charge, Moment now) -> decisions::QuotaBucket&;
+    /// Returns the bucket of the charge's member, at the rate of the newest configuration that any entry has sent.
+    [[nodiscard]] auto bucketFor(wire::schema::QuotaCharge::Reader charge, Moment now) -> decisions::QuotaBucket&;
 
 private:
     struct Account {
--- a/packages/serving/ReplicaAgent.cpp
+++ b/packages/serving/ReplicaAgent.cpp
@@ -12,33 +12,33 @@
 
 using detail::modelName;
 
-// The replica is on this host and answers within a millisecond; a failed call tells of its end.
+// The replica runs on this host and answers within a millisecond, so a call that fails means that it has ended.
 constexpr auto reportTimeout = Duration(400ms);
-// The report is read this often while an adapter is on its way, so that its requests start within that of its arrival:
-// an eighth of the time that it has taken, between these. A load from the replica's own memory takes some 30 ms, one
-// from the store ten times that; each reading costs as much as a token.
-constexpr auto busyInterval = Duration(15ms);
-constexpr auto longestBusyInterval = Duration(50ms);
-constexpr auto busyShare = 8;
-// And this often otherwise.
+// While an adapter is loading, the report is read at intervals of an eighth of the time that the load has taken so far,
+// between these bounds, so that its requests start within one interval of its arrival. A load from the replica's own
+// memory takes some 30 ms, one from the weight store ten times that; each read costs as much as generating a token.
+constexpr auto minBusyInterval = Duration(15ms);
+constexpr auto maxBusyInterval = Duration(50ms);
+constexpr auto busyIntervalDivisor = 8;
+// The interval between reports when no order is in progress.
 constexpr auto idleInterval = Duration(250ms);
-// The check waits for a place in the replica's batch like any request.
-constexpr auto identityTimeout = Duration(1500ms);
-// Demand moves on within tens of seconds; what was wanted a minute ago makes room.
+// The health check waits for a place in the replica's batch like any request.
+constexpr auto identificationTimeout = Duration(1500ms);
+// Demand shifts within tens of seconds; an adapter that was last wanted a minute ago may be evicted.
 constexpr auto demandHalfLife = Duration(15s);
-// How old a report may be.
-constexpr auto reportLag = Duration(500ms);
-constexpr auto fenceRetry = Duration(500ms);
-constexpr auto fenceTable = "epoch";
-constexpr auto microsecondsInMillisecond = 1000;
-constexpr auto reportsToForget = 2U;
-// When a request comes back to a replica that is empty or gone.
-constexpr auto comeBack = Duration(300ms);
-constexpr auto adapterTime = Duration(300ms);
-// How many loads the mean of their times follows.
+// Maximum age of a report when it arrives.
+constexpr auto maxReportLag = Duration(500ms);
+constexpr auto fencingRetryDelay = Duration(500ms);
+constexpr auto fencingTable = "epoch";
+constexpr auto microsecondsPerMillisecond = 1000;
+constexpr auto failedReportsUntilLost = 2U;
+// Retry delay for requests that are refused because the replica is empty, gone or paused.
+constexpr auto retryDelay = Duration(300ms);
+constexpr auto defaultLoadTime = Duration(300ms);
+// The moving average of load times gives the newest one a weight of 1/4.
 constexpr auto loadSmoothing = 4;
 constexpr auto expiryInterval = Duration(50ms);
-constexpr auto mostPrompts = std::size_t(512);
+constexpr auto maxRememberedPrompts = std::size_t(512);
 
 } // namespace
 
@@ -50,22 +50,22 @@
     , onDecision_(std::move(onDecision))
     , onChange_(std::move(onChange))
     , replica_(loop.timers(), settings.replica.address, settings.replica.port)
-    , prompts_(mostPrompts)
-    , loadTime_(adapterTime)
+    , prompts_(maxRememberedPrompts)
+    , loadTime_(defaultLoadTime)
 {
 }
 
 auto ReplicaAgent::start() -> void
 {
-    // The store would refuse most of these writes if all agents of a new fleet sent them at the same time.
+    // If all agents of a new deployment wrote at the same time, the store would refuse most of the writes.
     if (settings_.firstStart)
-        fenceTimer_ = loop_.timers().after(firstFenceDelay(), [this] { raiseFence(); });
+        fencingTimer_ = loop_.timers().after(firstFencingDelay(), [this] { acquireFencingToken(); });
     else
-        raiseFence();
-    report();
-    expiry_ = loop_.timers().every(expiryInterval, [this] {
-        for (const auto& refusal : queue_.expire(isReady(), loop_.timers().now()))
-            decide(refusal.attempt, { .retryAfter = refusal.retryAfter, .reason = "not in time" });
+        acquireFencingToken();
+    requestReport();
+    expiryTimer_ = loop_.timers().every(expiryInterval, [this] {
+        for (const auto& refusal : queue_.expire(readinessPredicate(), loop_.timers().now()))
+            reportDecision(refusal.attempt, { .retryAfter = refusal.retryAfter, .reason = "not in time" });
     });
 }
 
@@ -79,68 +79,74 @@
         return;
     slotCount_ = adapterSlots;
     slots_.emplace(adapterSlots, decisions::SlotPolicy { .demandHalfLife = demandHalfLife, .unusedStay = Duration(0) });
-    synchronize();
-    act();
+    synchronizeSlots();
+    runPendingWork();
 }
 
-/// Derived from the host name, so that the first writes of the agents are spread over time.
-auto ReplicaAgent::firstFenceDelay() const -> Duration
+/// Returns a delay derived from the host name, which spreads the first writes of all agents over time.
+auto ReplicaAgent::firstFencingDelay() const -> Duration
 {
-    constexpr auto longestDelay = milliseconds(3000);
-    return milliseconds(decisions::nameHash(settings_.host.name) % static_cast<std::uint64_t>(longestDelay.count()));
+    constexpr auto maxDelay = milliseconds(3000);
+    return milliseconds(decisions::nameHash(settings_.host.name) % static_cast<std::uint64_t>(maxDelay.count()));
 }
 
-/// Begins as the first agent of this replica, which needs no reading; whoever came before is told by the conflict.
-auto ReplicaAgent::raiseFence() -> void { writeFence({ .table = fenceTable, .key = settings_.replica.str() }); }
+/// Writes without reading first, as though no agent had written before. If one had, the store answers with a conflict,
+/// which carries the current row.
+auto ReplicaAgent::acquireFencingToken() -> void
+{
+    writeFencingToken({ .table = fencingTable, .key = settings_.replica.str() });
+}
 
-auto ReplicaAgent::writeFence(const hosting::Row& row) -> void
+auto ReplicaAgent::writeFencingToken(const hosting::Row& row) -> void
 {
-    fence_ = Fence::Asked;
+    fencingState_ = FencingState::Requested;
     const auto token = wire::decimal(row.value).value_or(0) + 1;
     auto next = row;
     next.value = std::to_string(token);
-    fenceWork_ = store_.transact({ .conditions = { row }, .writes = { next } })
-                     .then([this, token](hosting::StoreAnswer&& written) { fenceWritten(token, written); })
-                     .eagerlyEvaluate([](kj::Exception&& error) {
-                         log::error("fence not raised", { { "reason", error.getDescription().cStr() } });
-                     });
+    fencingWork_ = store_.transact({ .conditions = { row }, .writes = { next } })
+                       .then([this, token](hosting::StoreAnswer&& written) { fencingTokenWritten(token, written); })
+                       .eagerlyEvaluate([](kj::Exception&& error) {
+                           log::error("fencing token not acquired", { { "reason", error.getDescription().cStr() } });
+                       });
 }
 
-/// Goes on from a timer: the next call would take the place of the promise that is at work here.
-auto ReplicaAgent::fenceWritten(std::uint64_t token, const hosting::StoreAnswer& answer) -> void
+/// Continues from a timer, because another call from here would replace the promise that is running this function.
+auto ReplicaAgent::fencingTokenWritten(std::uint64_t token, const hosting::StoreAnswer& answer) -> void
 {
     if (answer.outcome == hosting::StoreOutcome::Conflict && !answer.rows.empty()) {
-        fenceTimer_ = loop_.timers().after(Duration(0), [this, row = answer.rows.front()] { writeFence(row); });
+        fencingTimer_
+            = loop_.timers().after(Duration(0), [this, row = answer.rows.front()] { writeFencingToken(row); });
         return;
     }
     if (answer.outcome != hosting::StoreOutcome::Done) {
-        // A lost answer may have raised it: the next try sees that, and a number is skipped, which does no harm.
-        log::warn("fence not raised", { { "reason", answer.reason } });
-        fenceTimer_ = loop_.timers().after(fenceRetry, [this] { raiseFence(); });
+        // The write may have succeeded although its answer was lost. The next attempt then sees the new token and skips
+        // a number, which is harmless.
+        log::warn("fencing token not acquired", { { "reason", answer.reason } });
+        fencingTimer_ = loop_.timers().after(fencingRetryDelay, [this] { acquireFencingToken(); });
         return;
     }
-    token_ = Epoch(token);
-    fence_ = Fence::Held;
-    log::info("fence raised", { { "token", std::to_string(token) } });
-    act();
+    fencingToken_ = Epoch(token);
+    fencingState_ = FencingState::Held;
+    log::info("fencing token acquired", { { "token", std::to_string(token) } });
+    runPendingWork();
 }
 
-auto ReplicaAgent::report() -> void
+auto ReplicaAgent::requestReport() -> void
 {
-    if (std::exchange(reporting_, true))
+    if (std::exchange(reportInFlight_, true))
         return;
     reportTimer_.cancel();
     reportWork_ = replica_.call(hosting::reportCall(reportTimeout))
-                      .then([this](wire::HttpAnswer&& answer) { reported(answer); },
-                          [this](kj::Exception&& error) { reportFailed(error.getDescription().cStr()); })
+                      .then([this](wire::HttpAnswer&& answer) { handleReport(answer); },
+                          [this](kj::Exception&& error) { handleReportFailure(error.getDescription().cStr()); })
                       .eagerlyEvaluate([](kj::Exception&& error) {
-                          log::error("report failed", { { "reason", error.getDescription().cStr() } });
+                          log::error("reading the report failed", { { "reason", error.getDescription().cStr() } });
                       });
 }
 
-auto ReplicaAgent::reported(const wire::HttpAnswer& answer) -> void
+auto ReplicaAgent::handleReport(const wire::HttpAnswer& answer) -> void
 {
-    reporting_ = false;
+    reportInFlight_ = false;
     constexpr auto ok = 200;
     auto read = orElse(
         [&]() -> Result<std::optional<hosting::ReplicaReport>> {
@@ -148,62 +154,63 @@
             return std::optional(std::move(report));
         },
         [&](const Error& error) -> std::optional<hosting::ReplicaReport> {
-            log::error("report not understood", { { "reason", error.message() } });
+            log::error("report not valid", { { "reason", error.message() } });
             return std::nullopt;
         });
     if (answer.status != ok || !read)
-        return reportFailed("status " + std::to_string(answer.status));
-    if (startedAgain(*read))
-        forgetReplica("started again");
-    // A report may be a little older than the answer to the last order.
+        return handleReportFailure("status " + std::to_string(answer.status));
+    if (isFromLaterStart(*read))
+        resetReplicaState("started again");
+    // The report may be slightly older than the answer to the last order.
     if (report_)
         read->sequence = std::max(read->sequence, report_->sequence);
     reportFailures_ = 0;
     if (!report_)
-        log::info("replica regained", { { "sequence", std::to_string(read->sequence) } });
+        log::info("replica available", { { "sequence", std::to_string(read->sequence) } });
     report_ = std::move(read);
     reportedAt_ = loop_.timers().now();
-    synchronize();
-    act();
+    synchronizeSlots();
+    runPendingWork();
     onChange_();
-    reportTimer_ = loop_.timers().after(reportInterval(), [this] { report(); });
+    reportTimer_ = loop_.timers().after(reportInterval(), [this] { requestReport(); });
 }
 
 auto ReplicaAgent::reportInterval() const -> Duration
 {
-    // A load that waits for a slot needs no report: the run that frees one ends here.
-    const auto ordersAtWork
-        = !report_->coming.empty() || report_->orderUnderWay || !unloading_.empty() || !replacing_.empty();
-    if (!ordersAtWork)
+    // A load that waits for a slot needs no report: the end of the run that frees the slot is reported here.
+    const auto ordersInProgress = !report_->loading.empty() || report_->orderInProgress || !pendingUnloads_.empty()
+        || !pendingReplacements_.empty();
+    if (!ordersInProgress)
         return idleInterval;
-    if (loads_.empty())
-        return busyInterval;
-    const auto newest = std::max_element(loads_.begin(), loads_.end(),
+    if (pendingLoads_.empty())
+        return minBusyInterval;
+    const auto newest = std::max_element(pendingLoads_.begin(), pendingLoads_.end(),
         [](const auto& left, const auto& right) { return left.second.since < right.second.since; });
     const auto elapsed = loop_.timers().now() - newest->second.since;
-    return std::clamp(Duration(elapsed / busyShare), busyInterval, longestBusyInterval);
+    return std::clamp(Duration(elapsed / busyIntervalDivisor), minBusyInterval, maxBusyInterval);
 }
 
-/// A replica may start again under its name between two reports: it is empty and counts its orders anew. Taken for the
-/// start before, requests are sent to adapters that are not there, and orders wait for a count that never comes.
-auto ReplicaAgent::startedAgain(const hosting::ReplicaReport& read) const -> bool
+/// A replica may restart under the same name between two reports; it is then empty and counts its orders from 0. If the
+/// restart went unnoticed, requests would be sent to adapters that are not loaded, and orders would carry a
+/// precondition that never holds.
+auto ReplicaAgent::isFromLaterStart(const hosting::ReplicaReport& read) const -> bool
 {
     if (!report_)
         return false;
     if (read.startTime != StartTime() && report_->startTime != StartTime())
         return read.startTime != report_->startTime;
-    // Where no birth is told: fewer orders than before, for longer than a report may lag behind the last order.
-    return read.sequence < report_->sequence && loop_.timers().now() - orderedAt_ >= reportLag;
+    // Without start times: fewer orders than before, for longer than a report may lag behind the last order.
+    return read.sequence < report_->sequence && loop_.timers().now() - orderCountedAt_ >= maxReportLag;
 }
 
-auto ReplicaAgent::reportFailed(const std::string& reason) -> void
+auto ReplicaAgent::handleReportFailure(const std::string& reason) -> void
 {
-    reporting_ = false;
-    if (++reportFailures_ == reportsToForget) {
-        forgetReplica(reason);
+    reportInFlight_ = false;
+    if (++reportFailures_ == failedReportsUntilLost) {
+        resetReplicaState(reason);
         onChange_();
     }
-    reportTimer_ = loop_.timers().after(idleInterval, [this] { report(); });
+    reportTimer_ = loop_.timers().after(idleInterval, [this] { requestReport(); });
 }
 
 auto ReplicaAgent::identify() -> void
@@ -211,7 +218,7 @@
     if (identifying_ || healthPath_.empty())
         return;
     identifying_ = true;
-    identityWork_ = replica_.call({ .target = healthPath_, .timeout = identityTimeout })
+    identityWork_ = replica_.call({ .target = healthPath_, .timeout = identificationTimeout })
                         .then(
                             [this](wire::HttpAnswer&& answer) {
                                 instance_ = hosting::answeredBy(answer);
@@ -221,7 +228,7 @@
                         .eagerlyEvaluate(nullptr);
 }
 
-/// Goes on from a timer: the next question would take the place of the promise that is at work here.
+/// Continues from a timer, because asking again from here would replace the promise that is running this function.
 auto ReplicaAgent::identified(const std::string& failure) -> void
 {
     if (failure.empty())
@@ -230,53 +237,53 @@
         log::warn("replica not identified", { { "reason", failure } });
     identityTimer_ = loop_.timers().after(failure.empty() ? Duration(0) : idleInterval, [this] {
         identifying_ = false;
-        act();
+        runPendingWork();
     });
 }
 
-/// The replica's start that we knew is over: what it held, ran and was ordered is gone with it.
-auto ReplicaAgent::forgetReplica(std::string_view why) -> void
+/// Discards everything known about the replica's last start: its adapters, its running requests and its pending orders.
+auto ReplicaAgent::resetReplicaState(std::string_view reason) -> void
 {
     log::warn("replica lost",
         { { "replica", instance_.str() }, { "birth", std::to_string(startTime().value()) },
-            { "reason", std::string(why) } });
-    ++startsSeen_;
+            { "reason", std::string(reason) } });
+    ++replicaLosses_;
     report_.reset();
     instance_ = {};
     prompts_.clear();
-    unloading_.clear();
-    replacing_.clear();
-    loads_.clear();
-    latelyHeld_.clear();
-    pace_ = {};
+    pendingUnloads_.clear();
+    pendingReplacements_.clear();
+    pendingLoads_.clear();
+    recentAdapters_.clear();
+    loadConcurrency_ = {};
     if (slots_)
         slots_->reset({}, loop_.timers().now());
     breaker_ = {};
-    refuseWaiting("replica lost");
+    refuseQueued("replica lost");
 }
 
-auto ReplicaAgent::refuseWaiting(const std::string& reason) -> void
+auto ReplicaAgent::refuseQueued(const std::string& reason) -> void
 {
-    for (const auto& refusal : queue_.drain(comeBack))
-        decide(refusal.attempt, { .retryAfter = refusal.retryAfter, .reason = reason });
+    for (const auto& refusal : queue_.drain(retryDelay))
+        reportDecision(refusal.attempt, { .retryAfter = refusal.retryAfter, .reason = reason });
 }
 
-/// Takes the replica's report as the truth about its slots.
-auto ReplicaAgent::synchronize() -> void
+/// Sets the state of the slots from the replica's report.
+auto ReplicaAgent::synchronizeSlots() -> void
 {
-    if (!report_ || !slots_ || ordering_)
+    if (!report_ || !slots_ || orderInFlight_)
         return;
     const auto now = loop_.timers().now();
     auto held = std::vector<ModelName>();
     for (const auto& [adapter, version] : report_->resident)
         held.push_back(modelName(adapter));
     slots_->reset(held, now);
-    for (const auto& adapter : report_->coming)
+    for (const auto& adapter : report_->loading)
         slots_->loadStarted(modelName(adapter), now);
-    settlePending();
+    prunePendingOrders();
 }
 
-auto ReplicaAgent::versionOf(const AdapterName& adapter) const -> AdapterVersion
+auto ReplicaAgent::residentVersion(const AdapterName& adapter) const -> AdapterVersion
 {
     if (!report_)
         return {};
@@ -284,59 +291,62 @@
     return found == report_->resident.end() ? AdapterVersion() : found->second;
 }
 
-auto ReplicaAgent::ready(const AdapterName& adapter) const -> bool
+auto ReplicaAgent::isReady(const AdapterName& adapter) const -> bool
 {
-    if (!usable())
+    if (!isUsable())
         return false;
     if (adapter.empty())
         return true;
     if (!slots_->ready(modelName(adapter)))
         return false;
     const auto wanted = wantedVersions_.find(adapter);
-    return wanted == wantedVersions_.end() || versionOf(adapter) >= wanted->second;
+    return wanted == wantedVersions_.end() || residentVersion(adapter) >= wanted->second;
 }
 
-auto ReplicaAgent::isReady() const -> decisions::AdmissionQueue::Ready
+auto ReplicaAgent::readinessPredicate() const -> decisions::AdmissionQueue::Ready
 {
-    return [this](const AdapterName& adapter) { return ready(adapter); };
+    return [this](const AdapterName& adapter) { return isReady(adapter); };
 }
 
-auto ReplicaAgent::findWanted() -> void { wanted_ = queue_.wanted(isReady(), adapterTime, loop_.timers().now()); }
+auto ReplicaAgent::updateWantedAdapters() -> void
+{
+    wantedAdapters_ = queue_.wanted(readinessPredicate(), defaultLoadTime, loop_.timers().now());
+}
 
-auto ReplicaAgent::tokensAhead() const -> Tokens { return queue_.tokensAhead(isReady()); }
+auto ReplicaAgent::tokensAhead() const -> Tokens { return queue_.tokensAhead(readinessPredicate()); }
 
-auto ReplicaAgent::tokensWaiting() const -> Tokens { return queue_.tokensWaiting(isReady()); }
+auto ReplicaAgent::tokensWaiting() const -> Tokens { return queue_.tokensWaiting(readinessPredicate()); }
 
-auto ReplicaAgent::loadTime() const -> Duration { return spareSlots() > loadsWaiting() ? adapterTime : loadTime_; }
+auto ReplicaAgent::loadTime() const -> Duration { return spareSlots() > loadsWaiting() ? defaultLoadTime : loadTime_; }
 
-/// Measures how long adapters take from the first request that wants them.
-auto ReplicaAgent::noteLoads() -> void
+/// Measures how long adapters take to load, from the first request that needs them.
+auto ReplicaAgent::updateLoadTime() -> void
 {
     const auto now = loop_.timers().now();
-    for (const auto& wanted : wanted_)
+    for (const auto& wanted : wantedAdapters_)
         wantedSince_.try_emplace(wanted.adapter, now);
     std::erase_if(wantedSince_, [&](const auto& entry) {
-        if (std::any_of(
-                wanted_.begin(), wanted_.end(), [&](const auto& wanted) { return wanted.adapter == entry.first; }))
+        if (std::any_of(wantedAdapters_.begin(), wantedAdapters_.end(),
+                [&](const auto& wanted) { return wanted.adapter == entry.first; }))
             return false;
-        if (ready(entry.first))
+        if (isReady(entry.first))
             loadTime_ += (now - entry.second - loadTime_) / loadSmoothing;
         return true;
     });
 }
 
-auto ReplicaAgent::admits() const -> bool { return usable() && breaker_.allows(loop_.timers().now()); }
+auto ReplicaAgent::acceptsRequests() const -> bool { return isUsable() && breaker_.allows(loop_.timers().now()); }
 
-auto ReplicaAgent::usable() const -> bool { return report_ && report_->hasModel && slots_; }
+auto ReplicaAgent::isUsable() const -> bool { return report_ && report_->hasModel && slots_; }
 
 auto ReplicaAgent::admit(decisions::AdmissionRequest request, AdapterVersion version,
     std::span<const decisions::SharedPrefix> shared) -> void
 {
     const auto attempt = request.attempt;
-    if (!usable())
-        return decide(attempt, { .retryAfter = comeBack, .reason = "replica not usable" });
-    if (!admits())
-        return decide(attempt, { .retryAfter = comeBack, .reason = "replica rests after failures" });
+    if (!isUsable())
+        return reportDecision(attempt, { .retryAfter = retryDelay, .reason = "replica not usable" });
+    if (!acceptsRequests())
+        return reportDecision(attempt, { .retryAfter = retryDelay, .reason = "replica rests after failures" });
     if (!request.adapter.empty()) {
         auto& wanted = wantedVersions_[request.adapter];
         wanted = std::max(wanted, version);
@@ -344,15 +354,15 @@
     request.unreadTokens = request.promptTokens - std::min(prompts_.tokens(shared), request.promptTokens);
     const auto now = loop_.timers().now();
     const auto adapter = request.adapter;
-    const auto load = ready(adapter) ? Duration(0) : loadTime();
-    if (const auto refusal = queue_.offer(std::move(request), isReady(), load, now)) {
+    const auto load = isReady(adapter) ? Duration(0) : loadTime();
+    if (const auto refusal = queue_.offer(std::move(request), readinessPredicate(), load, now)) {
         const auto* reason = refusal->late ? "late here" : "hopeless here";
-        return decide(attempt, { .retryAfter = refusal->retryAfter, .reason = reason, .late = refusal->late });
+        return reportDecision(attempt, { .retryAfter = refusal->retryAfter, .reason = reason, .late = refusal->late });
     }
     if (!adapter.empty())
         slots_->asked(modelName(adapter), now);
     prompts_.remember(shared);
-    act();
+    runPendingWork();
 }
 
 auto ReplicaAgent::adopt(const decisions::AdmissionRequest& request) -> void
@@ -367,11 +377,12 @@
     if (const auto grantedAt = queue_.grantedAt(attempt))
         breaker_.succeeded(*grantedAt, loop_.timers().now());
     queue_.started(attempt, loop_.timers().now());
-    act();
+    runPendingWork();
 }
 
-/// Where the replica has to rest, all entries hear of it at once: what waits here is refused, to be placed elsewhere.
-auto ReplicaAgent::noteEnd(const AttemptId& attempt, RunEnd end) -> void
+/// If the replica is paused because of this outcome, queued requests are refused so that they can be placed elsewhere,
+/// and all entries are notified at once.
+auto ReplicaAgent::recordRunEnd(const AttemptId& attempt, RunEnd end) -> void
 {
     const auto now = loop_.timers().now();
     const auto grantedAt = queue_.grantedAt(attempt);
@@ -381,62 +392,65 @@
         return breaker_.endedWithoutResult(*grantedAt);
     if (end == RunEnd::Failed)
         return breaker_.failed(now);
-    const auto rested = breaker_.openUntil();
+    const auto pausedUntil = breaker_.openUntil();
     breaker_.connectionBroke(now);
-    if (breaker_.openUntil() == rested)
+    if (breaker_.openUntil() == pausedUntil)
         return;
-    const auto rest = breaker_.openUntil() - now;
-    log::warn("replica rests",
-        { { "replica", instance_.str() }, { "rest_ms", std::to_string(rest.count() / microsecondsInMillisecond) } });
-    refuseWaiting("replica rests after failures");
+    const auto pause = breaker_.openUntil() - now;
+    log::warn("replica paused",
+        { { "replica", instance_.str() }, { "rest_ms", std::to_string(pause.count() / microsecondsPerMillisecond) } });
+    refuseQueued("replica rests after failures");
     onChange_();
-    rest_ = loop_.timers().after(rest, [this] { onChange_(); });
+    pauseTimer_ = loop_.timers().after(pause, [this] { onChange_(); });
 }
 
 auto ReplicaAgent::release(const AttemptId& attempt, RunEnd end) -> void
 {
-    noteEnd(attempt, end);
+    recordRunEnd(attempt, end);
     if (const auto adapter = queue_.adapterOf(attempt); adapter && slots_)
         slots_->unpin(modelName(*adapter));
     queue_.release(attempt);
-    act();
+    runPendingWork();
 }
 
-auto ReplicaAgent::decide(const AttemptId& attempt, Decision decision) -> void { onDecision_(attempt, decision); }
+auto ReplicaAgent::reportDecision(const AttemptId& attempt, Decision decision) -> void
+{
+    onDecision_(attempt, decision);
+}
 
-auto ReplicaAgent::act() -> void
+auto ReplicaAgent::runPendingWork() -> void
 {
-    // A decision may bring a new request or a release at once; the outer call goes on with it.
-    if (std::exchange(acting_, true))
+    // A decision may lead to a new request or a release in the same call stack; the outer call handles it.
+    if (std::exchange(runningPendingWork_, true))
         return;
-    grant();
-    findWanted();
-    noteLoads();
+    grantRequests();
+    updateWantedAdapters();
+    updateLoadTime();
     if (report_ && instance_.empty())
         identify();
-    const auto resting = loop_.timers().now() < ordersRestUntil_;
-    if (!ordering_ && !resting && fence_ == Fence::Held && report_ && !instance_.empty()) {
+    const auto ordersPaused = loop_.timers().now() < ordersPausedUntil_;
+    if (!orderInFlight_ && !ordersPaused && fencingState_ == FencingState::Held && report_ && !instance_.empty()) {
         if (auto next = nextOrder())
-            order(std::move(*next));
+            sendOrder(std::move(*next));
     }
-    acting_ = false;
+    runningPendingWork_ = false;
 }
 
-auto ReplicaAgent::grant() -> void
+auto ReplicaAgent::grantRequests() -> void
 {
-    if (!usable())
+    if (!isUsable())
         return;
     const auto now = loop_.timers().now();
     if (!breaker_.allows(now))
         return;
-    const auto most = breaker_.open() ? std::size_t(1) : queue_.limits().batch;
-    for (const auto& request : queue_.grant(isReady(), now, most)) {
+    const auto maxGrants = breaker_.open() ? std::size_t(1) : queue_.limits().batch;
+    for (const auto& request : queue_.grant(readinessPredicate(), now, maxGrants)) {
         breaker_.requestSent();
         if (!request.adapter.empty())
             slots_->pin(modelName(request.adapter), now);
-        decide(request.attempt,
+        reportDecision(request.attempt,
             { .granted = true,
-                .version = versionOf(request.adapter),
+                .version = residentVersion(request.adapter),
                 .waited = now - request.arrivedAt,
                 .waitedForAdapter = request.readyAt - request.arrivedAt });
     }
@@ -450,7 +464,7 @@
 auto ReplicaAgent::loading() const -> std::vector<AdapterName>
 {
     auto adapters = std::vector<AdapterName>();
-    for (const auto& wanted : wanted_)
+    for (const auto& wanted : wantedAdapters_)
         adapters.push_back(wanted.adapter);
     std::sort(adapters.begin(), adapters.end());
     return adapters;
@@ -460,7 +474,7 @@
 {
     if (!slots_ || !report_)
         return 0;
-    const auto taken = report_->resident.size() + report_->coming.size();
+    const auto taken = report_->resident.size() + report_->loading.size();
     auto spare = slotCount_ > taken ? slotCount_ - taken : 0;
     for (const auto& [adapter, version] : report_->resident) {
         if (!slots_->pinned(modelName(adapter)) && !queue_.waits(adapter))
--- a/packages/serving/ReplicaAgent.h
+++ b/packages/serving/ReplicaAgent.h
@@ -20,25 +20,26 @@
 
 namespace eelgrass::serving {
 
-/// The only holder of orders for the replica beside it: keeps its adapters, and says which request may be sent when.
+/// Controls the replica on this host: orders it to load and unload adapters, and decides when each request may be sent
+/// to it. No other process sends orders to the replica.
 ///
-/// Orders go one at a time, each on the condition that the replica has accepted just as many as its last report says.
-/// An order whose answer was lost may be carried out seconds later; by that condition it then either meets the very
-/// state that it was made for, or nothing happens. Without it, a late load could fill a slot twice, which crashes the
-/// replica.
+/// One order is sent at a time. Its precondition is the number of orders that the replica had accepted by its last
+/// report. The replica may carry out an order seconds after the answer to it was lost; the precondition then ensures
+/// that the order either meets the state it was made for or has no effect. Without it, a delayed load could fill a slot
+/// a second time, which crashes the replica.
 class ReplicaAgent {
 public:
-    /// Told of each decision: granted with the version that the replica holds, or refused.
+    /// The decision on a request: granted with the adapter version that the replica holds, or refused.
     struct Decision {
         bool granted = false;
         AdapterVersion version;
         Duration retryAfter {};
         std::string reason;
-        /// Not granted only because it would be late here.
+        /// Refused only because the request would miss its latency target at this replica.
         bool late = false;
-        /// How long it waited here.
+        /// Time that the request spent in the admission queue.
         Duration waited {};
-        /// How much of that was for its adapter.
+        /// The part of `waited` before its adapter was loaded.
         Duration waitedForAdapter {};
     };
     using OnDecision = std::function<void(const AttemptId&, const Decision&)>;
@@ -48,81 +49,88 @@
         OnChange onChange);
 
     auto start() -> void;
-    /// What the configuration says of the replica's service.
+    /// Applies what the configuration says about the replica's service.
     auto configure(decisions::ReplicaLimits limits, std::size_t adapterSlots, const BaseModel& base,
         const std::string& healthPath) -> void;
 
-    /// Takes a request in; the decision comes by `onDecision`, maybe at once. `version` is the lowest that may run.
+    /// Queues a request or refuses it. The decision is passed to `onDecision`, possibly before this returns. `version`
+    /// is the lowest adapter version that may run the request.
     auto admit(decisions::AdmissionRequest request, AdapterVersion version,
         std::span<const decisions::SharedPrefix> shared) -> void;
+    /// Registers a request that already runs at the replica, granted before its entry attached.
     auto adopt(const decisions::AdmissionRequest& request) -> void;
     auto started(const AttemptId& attempt) -> void;
     auto release(const AttemptId& attempt, RunEnd end = RunEnd::Plain) -> void;
 
-    /// Whether the replica answers and holds its base model.
-    [[nodiscard]] auto usable() const -> bool;
-    /// Whether a request may come now: usable, and not resting after failures.
-    [[nodiscard]] auto admits() const -> bool;
-    /// Share of the last requests that failed or broke off.
+    /// Whether the replica responds and holds its base model.
+    [[nodiscard]] auto isUsable() const -> bool;
+    /// Whether new requests are accepted: the replica is usable and not paused after failures.
+    [[nodiscard]] auto acceptsRequests() const -> bool;
+    /// Share of the recent requests that failed or broke off, from 0 to 1.
     [[nodiscard]] auto failureShare() const -> double { return breaker_.failureShare(loop_.timers().now()); }
     [[nodiscard]] auto instance() const noexcept -> const InstanceId& { return instance_; }
-    /// When the replica started, as its last report says.
+    /// When the replica started, according to its last report.
     [[nodiscard]] auto startTime() const noexcept -> StartTime { return report_ ? report_->startTime : StartTime(); }
     [[nodiscard]] auto queue() const noexcept -> const decisions::AdmissionQueue& { return queue_; }
     [[nodiscard]] auto resident() const -> std::map<AdapterName, AdapterVersion>;
-    /// Adapters that are wanted and not there, by name.
+    /// Adapters that queued requests need and that are not loaded, sorted by name.
     [[nodiscard]] auto loading() const -> std::vector<AdapterName>;
     [[nodiscard]] auto spareSlots() const -> std::size_t;
-    [[nodiscard]] auto loadsWaiting() const noexcept -> std::size_t { return wanted_.size(); }
-    /// Prompt tokens to be read before a request that comes now.
+    [[nodiscard]] auto loadsWaiting() const noexcept -> std::size_t { return wantedAdapters_.size(); }
+    /// Prompt tokens that the replica has to read before a request that arrives now.
     [[nodiscard]] auto tokensAhead() const -> Tokens;
+    /// Prompt tokens of requests that wait for their adapters.
     [[nodiscard]] auto tokensWaiting() const -> Tokens;
-    /// How long an adapter that is wanted now will take, the wait for a slot included, by what the last ones took.
+    /// Expected time until an adapter requested now is loaded, including the wait for a slot, estimated from recent
+    /// loads.
     [[nodiscard]] auto loadTime() const -> Duration;
 
 private:
-    enum class Fence { Wanted, Asked, Held };
+    /// State of the fencing token.
+    enum class FencingState { Needed, Requested, Held };
 
-    // The fencing token, raised once a start.
-    auto raiseFence() -> void;
-    auto writeFence(const hosting::Row& row) -> void;
-    auto fenceWritten(std::uint64_t token, const hosting::StoreAnswer& answer) -> void;
+    // The fencing token, incremented once at each start of this process.
+    auto acquireFencingToken() -> void;
+    auto writeFencingToken(const hosting::Row& row) -> void;
+    auto fencingTokenWritten(std::uint64_t token, const hosting::StoreAnswer& answer) -> void;
 
-    // The replica's own word.
-    auto report() -> void;
-    auto reported(const wire::HttpAnswer& answer) -> void;
-    /// Whether the report is of a later start than the last one.
-    [[nodiscard]] auto startedAgain(const hosting::ReplicaReport& read) const -> bool;
-    [[nodiscard]] auto firstFenceDelay() const -> Duration;
-    auto reportFailed(const std::string& reason) -> void;
-    /// Asks the replica which instance it is; orders name it, so that none reaches the one after a restart.
+    // The replica's report and identity.
+    auto requestReport() -> void;
+    auto handleReport(const wire::HttpAnswer& answer) -> void;
+    /// Whether the report is from a later start of the replica than the last one.
+    [[nodiscard]] auto isFromLaterStart(const hosting::ReplicaReport& read) const -> bool;
+    [[nodiscard]] auto firstFencingDelay() const -> Duration;
+    auto handleReportFailure(const std::string& reason) -> void;
+    /// Asks the replica for its instance name. Orders carry it, so that none is accepted by the instance that follows a
+    /// restart.
     auto identify() -> void;
     auto identified(const std::string& failure) -> void;
-    auto forgetReplica(std::string_view why) -> void;
-    auto synchronize() -> void;
+    auto resetReplicaState(std::string_view reason) -> void;
+    auto synchronizeSlots() -> void;
 
-    // What to do about it.
-    auto act() -> void;
-    auto grant() -> void;
-    auto decide(const AttemptId& attempt, Decision decision) -> void;
-    auto noteEnd(const AttemptId& attempt, RunEnd end) -> void;
-    auto refuseWaiting(const std::string& reason) -> void;
+    // Admission and orders.
+    /// Grants requests and sends the next order, as far as the current state allows.
+    auto runPendingWork() -> void;
+    auto grantRequests() -> void;
+    auto reportDecision(const AttemptId& attempt, Decision decision) -> void;
+    auto recordRunEnd(const AttemptId& attempt, RunEnd end) -> void;
+    auto refuseQueued(const std::string& reason) -> void;
     auto nextOrder() -> std::optional<hosting::ReplicaOrder>;
-    auto baseOrder() -> std::optional<hosting::ReplicaOrder>;
-    auto order(hosting::ReplicaOrder order) -> void;
-    [[nodiscard]] auto orderFence() const -> Epoch;
-    auto ordered(const hosting::ReplicaOrder& order, const wire::HttpAnswer& answer) -> void;
-    auto noteAccepted(const hosting::ReplicaOrder& order) -> void;
-    auto orderFailed(const hosting::ReplicaOrder& order, const std::string& reason) -> void;
-    auto settlePending() -> void;
-    auto noteLoads() -> void;
-    /// Looks anew which adapters are to be loaded, and in which order.
-    auto findWanted() -> void;
-    /// Until the replica's report is read again.
+    auto baseModelOrder() -> std::optional<hosting::ReplicaOrder>;
+    auto sendOrder(hosting::ReplicaOrder order) -> void;
+    [[nodiscard]] auto orderFencingToken() const -> Epoch;
+    auto handleOrderAnswer(const hosting::ReplicaOrder& order, const wire::HttpAnswer& answer) -> void;
+    auto recordAcceptedOrder(const hosting::ReplicaOrder& order) -> void;
+    auto handleOrderFailure(const hosting::ReplicaOrder& order, const std::string& reason) -> void;
+    auto prunePendingOrders() -> void;
+    auto updateLoadTime() -> void;
+    /// Recomputes which adapters are to be loaded, and in which order.
+    auto updateWantedAdapters() -> void;
+    /// Time until the replica's report is read again.
     [[nodiscard]] auto reportInterval() const -> Duration;
-    [[nodiscard]] auto isReady() const -> decisions::AdmissionQueue::Ready;
-    [[nodiscard]] auto ready(const AdapterName& adapter) const -> bool;
-    [[nodiscard]] auto versionOf(const AdapterName& adapter) const -> AdapterVersion;
+    [[nodiscard]] auto readinessPredicate() const -> decisions::AdmissionQueue::Ready;
+    [[nodiscard]] auto isReady(const AdapterName& adapter) const -> bool;
+    [[nodiscard]] auto residentVersion(const AdapterName& adapter) const -> AdapterVersion;
 
     wire::MainLoop& loop_;
     const AgentSettings& settings_;
@@ -135,53 +143,55 @@
     decisions::AdmissionQueue queue_;
     std::optional<decisions::AdapterSlots> slots_;
     std::size_t slotCount_ = 0;
-    /// The lowest version of each adapter that any request asked for.
+    /// For each adapter, the highest of the minimum versions that requests asked for.
     std::map<AdapterName, AdapterVersion> wantedVersions_;
     decisions::KnownPrefixes prompts_;
-    /// Orders that wait at the replica for runs to end, and since when: unloads, and loads of a newer version.
-    std::map<AdapterName, Moment> unloading_;
-    std::map<AdapterName, Moment> replacing_;
+    /// Accepted orders that the replica carries out once the adapter's running requests have ended, and when they were
+    /// accepted: unloads, and loads of a newer version.
+    std::map<AdapterName, Moment> pendingUnloads_;
+    std::map<AdapterName, Moment> pendingReplacements_;
     struct Load {
         Moment since {};
-        /// Whether it takes from the weight store.
+        /// Whether the weights are read from the weight store.
         bool fromStore = true;
     };
-    std::map<AdapterName, Load> loads_;
-    decisions::RecentAdapters latelyHeld_;
-    decisions::LoadConcurrency pace_;
+    std::map<AdapterName, Load> pendingLoads_;
+    decisions::RecentAdapters recentAdapters_;
+    decisions::LoadConcurrency loadConcurrency_;
     decisions::CircuitBreaker breaker_;
-    Timer rest_;
-    /// Adapters to be loaded, in that order, as of the last look. Worked out once for each change of the queue: many
-    /// ask for it, and it costs a pass over all that waits.
-    std::vector<decisions::WantedAdapter> wanted_;
-    /// Since when each adapter that is not there is wanted, and how long the last ones took.
+    Timer pauseTimer_;
+    /// Adapters to be loaded, in that order. Cached, because it is read often and computing it takes a pass over the
+    /// whole queue; updated at each change of the queue.
+    std::vector<decisions::WantedAdapter> wantedAdapters_;
+    /// When each adapter in `wantedAdapters_` was first wanted.
     std::map<AdapterName, Moment> wantedSince_;
+    /// Moving average of the time from the first request for an adapter until it is loaded.
     Duration loadTime_;
-    Moment ordersRestUntil_ {};
-    Moment orderedAt_ {};
-    Timer orderRest_;
+    Moment ordersPausedUntil_ {};
+    Moment orderCountedAt_ {};
+    Timer orderPauseTimer_;
 
-    Fence fence_ = Fence::Wanted;
-    Epoch token_;
-    /// Starts of the replica that this process has seen end.
-    std::uint64_t startsSeen_ = 0;
+    FencingState fencingState_ = FencingState::Needed;
+    Epoch fencingToken_;
+    /// Number of times that this process has seen a start of the replica end.
+    std::uint64_t replicaLosses_ = 0;
     InstanceId instance_;
     std::optional<hosting::ReplicaReport> report_;
     Moment reportedAt_ {};
     std::uint32_t reportFailures_ = 0;
-    bool reporting_ = false;
-    bool ordering_ = false;
-    bool acting_ = false;
-    Moment baseOrderedAt_ {};
+    bool reportInFlight_ = false;
+    bool orderInFlight_ = false;
+    bool runningPendingWork_ = false;
+    Moment baseModelOrderedAt_ {};
     kj::Maybe<kj::Promise<void>> reportWork_;
     kj::Maybe<kj::Promise<void>> orderWork_;
-    kj::Maybe<kj::Promise<void>> fenceWork_;
+    kj::Maybe<kj::Promise<void>> fencingWork_;
     kj::Maybe<kj::Promise<void>> identityWork_;
     bool identifying_ = false;
     Timer identityTimer_;
     Timer reportTimer_;
-    Timer fenceTimer_;
-    Timer expiry_;
+    Timer fencingTimer_;
+    Timer expiryTimer_;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/StatePublisher.cpp
+++ b/packages/serving/StatePublisher.cpp
@@ -26,12 +26,15 @@
             = loop_.timers().every(PublishPolicy::heartbeat(audience), [this, audience] { publish(audience, true); });
 }
 
-auto StatePublisher::add(Key key, wire::schema::ReplicaListener::Client client, bool near) -> void
+auto StatePublisher::add(Key key, wire::schema::ReplicaListener::Client client, bool sameZone) -> void
 {
-    // Counted as asking: it knows nothing yet.
+    // A new subscriber counts as one with a recent request, because it has no state yet.
     subscribers_.emplace(key,
-        Subscriber {
-            .client = kj::mv(client), .near = near, .names = {}, .figures = {}, .askedAt = loop_.timers().now() });
+        Subscriber { .client = kj::mv(client),
+            .sameZone = sameZone,
+            .names = {},
+            .figures = {},
+            .requestedAt = loop_.timers().now() });
     changed();
 }
 
@@ -39,21 +42,21 @@
 {
     const auto found = subscribers_.find(key);
     if (found != subscribers_.end() && found->second.publishedAt == Moment())
-        publish(found->second, source_.namesText(), source_.figures());
+        publish(found->second, source_.namesFingerprint(), source_.figures());
 }
 
-auto StatePublisher::asked(Key key) -> void
+auto StatePublisher::noteRequest(Key key) -> void
 {
     if (const auto found = subscribers_.find(key); found != subscribers_.end())
-        found->second.askedAt = loop_.timers().now();
+        found->second.requestedAt = loop_.timers().now();
 }
 
 auto StatePublisher::audience(const Subscriber& subscriber) const -> Audience
 {
-    if (subscriber.near)
+    if (subscriber.sameZone)
         return Audience::SameZone;
-    const auto asked = loop_.timers().now() - subscriber.askedAt <= PublishPolicy::requesterWindow;
-    return asked ? Audience::RecentRequester : Audience::OtherZone;
+    const auto hasRequested = loop_.timers().now() - subscriber.requestedAt <= PublishPolicy::requesterWindow;
+    return hasRequested ? Audience::RecentRequester : Audience::OtherZone;
 }
 
 auto StatePublisher::count(Audience audience) const -> std::size_t
@@ -65,35 +68,35 @@
 auto StatePublisher::changed() -> void
 {
     for (const auto audience : audiences)
-        publishSoon(audience);
+        schedulePublication(audience);
 }
 
-auto StatePublisher::publishSoon(Audience audience) -> void
+auto StatePublisher::schedulePublication(Audience audience) -> void
 {
-    auto& soon = group(audience).soon;
+    auto& batchTimer = group(audience).batchTimer;
     const auto entries = count(audience);
-    if (soon.active() || entries == 0)
+    if (batchTimer.active() || entries == 0)
         return;
-    soon = loop_.timers().after(PublishPolicy::batchingDelay(audience, entries), [this, audience] {
-        group(audience).soon = {};
+    batchTimer = loop_.timers().after(PublishPolicy::batchingDelay(audience, entries), [this, audience] {
+        group(audience).batchTimer = {};
         publish(audience, false);
     });
 }
 
 auto StatePublisher::publish(Audience audience, bool heartbeat) -> void
 {
-    // Figures and names cost a pass over all that waits.
+    // Computing the figures and names takes a pass over the whole queue.
     if (count(audience) == 0)
         return;
     const auto now = loop_.timers().now();
     const auto figures = source_.figures();
-    const auto names = source_.namesText();
+    const auto names = source_.namesFingerprint();
     for (auto& [key, subscriber] : subscribers_) {
         if (this->audience(subscriber) != audience)
             continue;
-        // One that was sent something lately needs no heartbeat.
-        const auto beat = heartbeat && now - subscriber.publishedAt >= PublishPolicy::heartbeat(audience) / 2;
-        if (beat || subscriber.askedAt > subscriber.publishedAt || subscriber.names != names
+        // A subscriber that has recently been sent an update needs no heartbeat.
+        const auto heartbeatDue = heartbeat && now - subscriber.publishedAt >= PublishPolicy::heartbeat(audience) / 2;
+        if (heartbeatDue || subscriber.requestedAt > subscriber.publishedAt || subscriber.names != names
             || PublishPolicy::shouldPublish(audience, subscriber.figures, figures))
             publish(subscriber, names, figures);
     }
@@ -123,7 +126,7 @@
 auto StatePublisher::fillFigures(wire::schema::ReplicaState::Builder state, const decisions::ReplicaLoad& figures) const
     -> void
 {
-    constexpr auto thousand = 1000;
+    constexpr auto fixedPointScale = 1000;
     state.setUsable(figures.usable);
     state.setRunning(static_cast<std::uint32_t>(figures.running));
     state.setQueued(static_cast<std::uint32_t>(figures.queued));
@@ -132,8 +135,8 @@
     state.setMemoryUsed(figures.memoryUsed);
     state.setSpareSlots(static_cast<std::uint32_t>(figures.spareSlots));
     state.setLoadsWaiting(static_cast<std::uint32_t>(figures.loadsWaiting));
-    state.setReadRate(static_cast<std::uint32_t>(figures.readRate * thousand));
-    state.setFailures(static_cast<std::uint16_t>(figures.failures * thousand));
+    state.setReadRate(static_cast<std::uint32_t>(figures.readRate * fixedPointScale));
+    state.setFailures(static_cast<std::uint16_t>(figures.failures * fixedPointScale));
     state.setEntries(static_cast<std::uint32_t>(entries()));
 }
 
--- a/tests/integration/ServingAgents.cpp
+++ b/tests/integration/ServingAgents.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-// More adapters than slots are asked for, one after the other: each is loaded, one makes room, and the replica, which
-// crashes when it is ordered to hold one too many, lives.
-BOOST_AUTO_TEST_CASE(a_replica_is_never_ordered_to_hold_too_much)
+// Guards against loading more adapters than the replica has slots, which crashes it. More adapters than slots are
+// requested one after the other; each is loaded after another one has been unloaded.
+BOOST_AUTO_TEST_CASE(replica_is_never_ordered_to_load_more_adapters_than_slots)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -32,9 +32,9 @@
     BOOST_TEST(world.engine(0).runs().size() == 6U);
 }
 
-// Every order bears the fencing token and the count of orders before it. The token is the agent's number from the
-// store, above the number of the replica's starts that it has seen end.
-BOOST_AUTO_TEST_CASE(orders_carry_a_fence_and_a_condition)
+// Every order carries the fencing token and the number of orders before it. The token has the agent's number from the
+// store in its upper bits, and the number of replica starts that the agent has seen end in its lower bits.
+BOOST_AUTO_TEST_CASE(orders_carry_fencing_token_and_precondition)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -46,8 +46,8 @@
     BOOST_TEST(orderAt(world, 1).at("precondition") == 1);
 }
 
-// An agent that starts again raises its token, though the answer to its first write was lost after it took effect.
-BOOST_AUTO_TEST_CASE(a_restarted_agent_has_a_higher_fence)
+// A restarted agent gets a higher token even if the answer to its first write is lost after the write took effect.
+BOOST_AUTO_TEST_CASE(restarted_agent_has_higher_fencing_token)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -61,11 +61,11 @@
     BOOST_TEST(std::stoi(world.store().value("epoch", world.engine(0).endpoint().str())) > std::stoi(before));
 }
 
-// The caller waits a little longer, and the replica lives.
-// 1. Orders get no answer; the replica carries them out seconds later. 2. The agent orders again, on the same
-// condition.
-// 3. Whichever comes first changes the count of orders, so that the other one is void: the adapter is loaded once.
-BOOST_AUTO_TEST_CASE(a_late_order_does_not_fill_a_slot_twice)
+// Guards against a crash of the replica caused by a slot that is filled twice. Orders get no answer, and the replica
+// carries them out seconds later. The agent repeats the order with the same precondition. Whichever of the two arrives
+// first changes the number of accepted orders, so that the other has no effect: the adapter is loaded once, and the
+// caller only waits a little longer.
+BOOST_AUTO_TEST_CASE(delayed_order_does_not_fill_a_slot_twice)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -80,7 +80,7 @@
     BOOST_TEST(!world.engine(0).crashed());
 }
 
-// A replica that starts again is empty: it gets its base model, and requests run there anew.
+// A restarted replica is empty. It gets its base model loaded, and requests run there again.
 BOOST_AUTO_TEST_CASE(a_restarted_replica_gets_its_base_model)
 {
     auto world = ServingWorld(1, 0);
@@ -93,8 +93,8 @@
         [&] { return world.ask({ .attempt = "again" + std::to_string(rand()), .adapter = "a3" }).status == 200; }));
 }
 
-// Callers are served while the process beside a replica is away, from the adapters that the replica holds.
-BOOST_AUTO_TEST_CASE(a_replica_serves_what_it_holds_without_its_agent)
+// While the agent of a replica is away, requests for the adapters that the replica holds are still served.
+BOOST_AUTO_TEST_CASE(replica_serves_loaded_adapters_without_its_agent)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway();
@@ -109,8 +109,8 @@
     BOOST_TEST(world.ask({ .attempt = "three", .adapter = "unknown" }).status == 503);
 }
 
-// Requests that come after a newer version of their adapter was named run on it, and the order that brings it is given
-// once while the replica works on it.
+// Requests that arrive after a newer version of their adapter was announced run on that version. The order that loads
+// it is sent only once while the replica is carrying it out.
 BOOST_AUTO_TEST_CASE(a_newer_version_is_loaded_before_requests_run)
 {
     auto world = ServingWorld(1, 0);
@@ -124,9 +124,10 @@
     BOOST_TEST(world.engine(0).orders().size() == 2U);
 }
 
-// The replica takes each request and breaks it off before the first event; its report looks well. Callers of the first
-// gateway lose three requests. The second gateway, which sent none, hears that the replica rests and sends nothing.
-BOOST_AUTO_TEST_CASE(a_replica_that_breaks_off_rests_for_every_gateway)
+// The replica accepts each request and breaks it off before the first event, while its report looks healthy. Callers of
+// the first gateway lose three requests. The second gateway, which sent none, learns from the agent that the replica is
+// paused, and sends nothing.
+BOOST_AUTO_TEST_CASE(replica_that_breaks_off_is_paused_for_every_gateway)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -141,9 +142,9 @@
     BOOST_TEST(world.until([&] { return replicas.at(0)->agent()->state().usable; }));
 }
 
-// A replica started anew at its old address, and the list still names its last start. What is sent to that one comes
-// back unrun, and each such send is paid from the retry budget.
-BOOST_AUTO_TEST_CASE(the_last_start_of_a_replica_gets_nothing)
+// A replica has restarted at the same address, and the list still contains its earlier start. Guards against sending
+// requests to that one: they would be returned without having run, and each would use up part of the retry budget.
+BOOST_AUTO_TEST_CASE(earlier_start_of_a_replica_receives_no_requests)
 {
     auto world = ServingWorld(0, 1);
     auto& gateway = world.startGateway();
@@ -157,8 +158,8 @@
     BOOST_TEST(replicas.at(serving::InstanceId("plain-0-again"))->usable(now));
 }
 
-// Gateways of other zones hear less often of a replica, and hear of it all the same.
-BOOST_AUTO_TEST_CASE(a_gateway_of_another_zone_is_told_of_changes)
+// Gateways in other zones receive updates on a replica too, though less often.
+BOOST_AUTO_TEST_CASE(gateway_in_another_zone_receives_updates)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway(true, "zone-2");
@@ -167,9 +168,9 @@
     BOOST_TEST(world.until([&] { return replicas.at(0)->agent()->state().resident.contains(AdapterId("a7")); }));
 }
 
-// A replica starts anew and its health check answers, but does not say which instance it is. The agent asks again until
-// it does, and lives: asking from within the answer to the last question ended the process.
-BOOST_AUTO_TEST_CASE(a_replica_that_does_not_say_who_it_is_is_asked_again)
+// A replica restarts, and its health check answers without stating its instance. The agent asks again until it does.
+// Guards against a crash of the agent that occurred when it asked again from within the handler of the previous answer.
+BOOST_AUTO_TEST_CASE(replica_that_does_not_state_its_instance_is_asked_again)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway();
--- a/tests/unit/UsersPlatform.cpp
+++ b/tests/unit/UsersPlatform.cpp
@@ -21,7 +21,7 @@
     return message;
 }
 
-template <typename T> auto failed(const std::function<Result<T>()>& read) -> bool
+template <typename T> auto fails(const std::function<Result<T>()>& read) -> bool
 {
     return orElse(
         [&]() -> Result<bool> {
@@ -33,28 +33,28 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_requests_headers_become_facts)
+BOOST_AUTO_TEST_CASE(request_headers_are_parsed_into_metadata)
 {
-    const auto facts = readRequestMetadata(request());
-    BOOST_REQUIRE(facts);
-    BOOST_TEST(facts->attempt.str() == "abc");
-    BOOST_TEST(facts->model.str() == "base");
-    BOOST_TEST(facts->adapter.str() == "a7");
-    BOOST_TEST(facts->promptTokens == 1460U);
-    BOOST_TEST(facts->outputTokens == 80U);
-    BOOST_TEST(facts->prompt.size() == 3U);
-    BOOST_TEST(facts->prompt[1].tokens == 410U);
-    BOOST_TEST(facts->deadline->count() == 4000);
+    const auto metadata = readRequestMetadata(request());
+    BOOST_REQUIRE(metadata);
+    BOOST_TEST(metadata->attempt.str() == "abc");
+    BOOST_TEST(metadata->model.str() == "base");
+    BOOST_TEST(metadata->adapter.str() == "a7");
+    BOOST_TEST(metadata->promptTokens == 1460U);
+    BOOST_TEST(metadata->outputTokens == 80U);
+    BOOST_TEST(metadata->prompt.size() == 3U);
+    BOOST_TEST(metadata->prompt[1].tokens == 410U);
+    BOOST_TEST(metadata->deadline->count() == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_without_its_id_has_no_facts)
+BOOST_AUTO_TEST_CASE(request_without_attempt_id_is_rejected)
 {
     auto message = request();
     message.fields.remove(names::attemptId);
     BOOST_TEST(!readRequestMetadata(message).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_forwarded_request_keeps_the_clients_words_and_gets_ours)
+BOOST_AUTO_TEST_CASE(forwarded_request_keeps_client_headers_and_adds_control_headers)
 {
     auto message = request();
     message.fields.add("Kv-From", "1.2.3.4:5/h");
@@ -72,26 +72,26 @@
     BOOST_TEST(fields.count("Connection") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_to_somebody_else_is_foreign)
+BOOST_AUTO_TEST_CASE(answer_with_another_attempt_id_is_detected)
 {
     auto head = wire::HttpResponseHead { .status = 200 };
     head.fields.add(names::attemptId, "other");
     BOOST_TEST(readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
     head.fields.set(names::attemptId, "abc");
     BOOST_TEST(!readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
-    // A success that names nobody may be an extra answer; a refusal may come without a name.
+    // A successful answer without an attempt id may be a duplicate answer; an error may come without one.
     BOOST_TEST(readAnswerMetadata({ .status = 200 }, AttemptId("abc")).forOtherAttempt);
     BOOST_TEST(!readAnswerMetadata({ .status = 421 }, AttemptId("abc")).forOtherAttempt);
     BOOST_TEST(readAnswerMetadata({ .status = 421 }, AttemptId("abc")).notRun);
 }
 
-BOOST_AUTO_TEST_CASE(when_to_come_back_keeps_its_fractions)
+BOOST_AUTO_TEST_CASE(retry_after_has_fractional_seconds)
 {
     const auto fields = ownFields(AttemptId("abc"), std::chrono::milliseconds(250));
     BOOST_TEST(fields.get(names::retryAfter) == "0.250");
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_read_and_unknown_fields_are_ignored)
+BOOST_AUTO_TEST_CASE(configuration_is_parsed_and_unknown_fields_are_ignored)
 {
     const auto read = orElse(
         []() -> Result<serving::ServingConfiguration> {
@@ -115,16 +115,16 @@
     BOOST_TEST(read.limits.http.bodyBytes == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_document_is_an_error_and_no_crash)
+BOOST_AUTO_TEST_CASE(malformed_documents_are_reported_as_errors)
 {
-    BOOST_TEST(failed<serving::ServingConfiguration>([] { return readConfiguration("{"); }));
-    BOOST_TEST(failed<serving::ServingConfiguration>([] { return readConfiguration(R"({"version":"x"})"); }));
-    BOOST_TEST(failed<serving::ReplicaRecord>([] { return readReplica("i", "[]"); }));
-    BOOST_TEST(failed<ReplicaReport>([] { return readReport("garbage"); }));
-    BOOST_TEST(failed<NamedVersion>([] { return readVersion("{}"); }));
+    BOOST_TEST(fails<serving::ServingConfiguration>([] { return readConfiguration("{"); }));
+    BOOST_TEST(fails<serving::ServingConfiguration>([] { return readConfiguration(R"({"version":"x"})"); }));
+    BOOST_TEST(fails<serving::ReplicaRecord>([] { return readReplica("i", "[]"); }));
+    BOOST_TEST(fails<ReplicaReport>([] { return readReport("garbage"); }));
+    BOOST_TEST(fails<NamedVersion>([] { return readVersion("{}"); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_report_tells_what_is_there_and_what_comes)
+BOOST_AUTO_TEST_CASE(report_lists_resident_and_loading_adapters)
 {
     const auto report = orElse(
         []() -> Result<ReplicaReport> {
@@ -136,13 +136,13 @@
     BOOST_TEST(report.sequence == 5U);
     BOOST_TEST(report.resident.at(AdapterId("a1")).value() == 2U);
     BOOST_TEST(report.resident.at(AdapterId("a9")).value() == 1U);
-    BOOST_REQUIRE(report.coming.size() == 1U);
-    BOOST_TEST(report.coming[0].str() == "a3");
+    BOOST_REQUIRE(report.loading.size() == 1U);
+    BOOST_TEST(report.loading[0].str() == "a3");
 }
 
 namespace {
 
-auto entryWith(const std::string& name, const std::string& value) -> std::string
+auto recordWith(const std::string& name, const std::string& value) -> std::string
 {
     auto fields = std::map<std::string, std::string> { { "service", R"("s")" }, { "address", R"("10.0.0.1:80")" },
         { "zone", R"("z")" }, { "state", R"("ready")" }, { "slots", "24" }, { "models", "[]" },
@@ -156,54 +156,54 @@
     return text + "}";
 }
 
-auto unreadable(const std::string& name, const std::string& value) -> bool
+auto isRejected(const std::string& name, const std::string& value) -> bool
 {
-    return failed<serving::ReplicaRecord>([&] { return readReplica("i", entryWith(name, value)); });
+    return fails<serving::ReplicaRecord>([&] { return readReplica("i", recordWith(name, value)); });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_entry_of_a_replica_tells_its_start)
+BOOST_AUTO_TEST_CASE(replica_record_allows_unknown_fields_and_a_missing_start_time)
 {
-    BOOST_TEST(!unreadable("zone", R"("z")"));
-    BOOST_TEST(!unreadable("more", R"({"new":[1]})"));
-    // Written before replicas told their birth.
-    BOOST_TEST(!unreadable("born", ""));
+    BOOST_TEST(!isRejected("zone", R"("z")"));
+    BOOST_TEST(!isRejected("more", R"({"new":[1]})"));
+    // Records written before replicas stated their start time have no such field.
+    BOOST_TEST(!isRejected("born", ""));
 }
 
-// Another writer's entry, read as far as it goes, would be a replica with four thousand million places, or one at no
-// address, to which requests are sent and lost.
-BOOST_AUTO_TEST_CASE(an_entry_with_missing_or_other_fields_is_no_replica)
+// Guards against using a record that another writer has overwritten. Parsed without checks, it could become a replica
+// with four billion slots, or one without an address, and requests sent there would be lost.
+BOOST_AUTO_TEST_CASE(replica_record_with_missing_or_invalid_fields_is_rejected)
 {
     for (const auto* name : { "service", "address", "zone", "state", "slots" }) {
         for (const auto* value : { "", "null", "[]", "{}", "-1", "1.5", "true", R"("")" }) {
             const auto allowed = std::string_view(value) == R"("")"
                 && (std::string_view(name) == "service" || std::string_view(name) == "zone");
-            BOOST_TEST(unreadable(name, value) == !allowed, name << " = " << value);
+            BOOST_TEST(isRejected(name, value) == !allowed, name << " = " << value);
         }
     }
     for (const auto* value : { "-1", "1.5", "true", R"("1700000000000")", "[]" })
-        BOOST_TEST(unreadable("born", value), value);
-    BOOST_TEST(unreadable("slots", "4294967297"));
-    BOOST_TEST(unreadable("state", R"("resting")"));
-    BOOST_TEST(unreadable("address", R"("somewhere")"));
-    BOOST_TEST(unreadable("address", R"("host.example:80")"));
-    BOOST_TEST(unreadable("address", R"("10.0.0.1:0")"));
-    BOOST_TEST(unreadable("models", "{}"));
-    BOOST_TEST(unreadable("models", R"(["m"])"));
-    BOOST_TEST(unreadable("models", R"([{"name":"m","adapters":[7]}])"));
+        BOOST_TEST(isRejected("born", value), value);
+    BOOST_TEST(isRejected("slots", "4294967297"));
+    BOOST_TEST(isRejected("state", R"("resting")"));
+    BOOST_TEST(isRejected("address", R"("somewhere")"));
+    BOOST_TEST(isRejected("address", R"("host.example:80")"));
+    BOOST_TEST(isRejected("address", R"("10.0.0.1:0")"));
+    BOOST_TEST(isRejected("models", "{}"));
+    BOOST_TEST(isRejected("models", R"(["m"])"));
+    BOOST_TEST(isRejected("models", R"([{"name":"m","adapters":[7]}])"));
 }
 
-BOOST_AUTO_TEST_CASE(a_report_without_its_count_of_orders_is_none)
+BOOST_AUTO_TEST_CASE(report_without_order_count_is_rejected)
 {
-    BOOST_TEST(failed<ReplicaReport>([] { return readReport(R"({"models":[]})"); }));
-    BOOST_TEST(failed<ReplicaReport>([] { return readReport(R"({"models":[],"sequence":-1})"); }));
-    BOOST_TEST(!failed<ReplicaReport>([] { return readReport(R"({"models":[],"sequence":1,"born":5})"); }));
+    BOOST_TEST(fails<ReplicaReport>([] { return readReport(R"({"models":[]})"); }));
+    BOOST_TEST(fails<ReplicaReport>([] { return readReport(R"({"models":[],"sequence":-1})"); }));
+    BOOST_TEST(!fails<ReplicaReport>([] { return readReport(R"({"models":[],"sequence":1,"born":5})"); }));
 }
 
-// Whoever reads the logs could call in a member's name.
-// 1. A configuration comes cut off within a key. 2. What is wrong with it is logged, and does not quote it.
-BOOST_AUTO_TEST_CASE(what_is_wrong_with_a_configuration_does_not_quote_it)
+// Guards against keys in the logs, with which a reader of the logs could impersonate a member. A configuration that is
+// truncated within a key yields an error, which is logged and must not quote the document.
+BOOST_AUTO_TEST_CASE(configuration_errors_do_not_contain_keys)
 {
     const auto message = orElse(
         []() -> Result<std::string> {
@@ -215,7 +215,7 @@
     BOOST_TEST(message.find("secret") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(members_are_read_with_their_keys_and_quotas)
+BOOST_AUTO_TEST_CASE(members_are_parsed_with_keys_and_quotas)
 {
     const auto configuration = orElse(
         []() -> Result<serving::ServingConfiguration> {
