--- a/packages/serving/Replica.cpp
+++ b/packages/serving/Replica.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Failures in a row after which a replica rests, and for how long: doubled each time, up to the longest.
-constexpr auto failuresToRest = 2U;
-constexpr auto shortestRest = Duration(300ms);
-constexpr auto longestRest = Duration(3s);
-// A full replica is asked again when a few of its requests have ended.
-constexpr auto restWhenFull = Duration(60ms);
+// After this many consecutive failures no requests are sent for a pause, which doubles with each further failure.
+constexpr auto failuresToPause = 2U;
+constexpr auto minPause = Duration(300ms);
+constexpr auto maxPause = Duration(3s);
+// After this time a full replica has usually finished a few requests and is tried again.
+constexpr auto pauseWhenFull = Duration(60ms);
 constexpr auto smoothing = 8;
 
 } // namespace
@@ -40,39 +40,39 @@
 auto Replica::succeeded(Duration took) -> void
 {
     failures_ = 0;
-    restsUntil_ = {};
+    pausedUntil_ = {};
     meanTime_ = meanTime_.count() == 0 ? took : meanTime_ + (took - meanTime_) / smoothing;
 }
 
 auto Replica::failed(Moment now) -> void
 {
     ++failures_;
-    if (failures_ < failuresToRest)
+    if (failures_ < failuresToPause)
         return;
-    constexpr auto mostDoublings = 5U;
-    const auto doublings = std::min(failures_ - failuresToRest, mostDoublings);
-    restsUntil_ = now + std::min(longestRest, shortestRest * (1U << doublings));
+    constexpr auto maxDoublings = 5U;
+    const auto doublings = std::min(failures_ - failuresToPause, maxDoublings);
+    pausedUntil_ = now + std::min(maxPause, minPause * (1U << doublings));
 }
 
-auto Replica::reportedFull(Moment now) -> void { restsUntil_ = std::max(restsUntil_, now + restWhenFull); }
+auto Replica::reportedFull(Moment now) -> void { pausedUntil_ = std::max(pausedUntil_, now + pauseWhenFull); }
 
 auto Replica::usable(Moment now) const noexcept -> bool
 {
-    if (leaving_ || unreadable_ || superseded_ || now < restsUntil_)
+    if (leaving_ || unreadable_ || superseded_ || now < pausedUntil_)
         return false;
-    // After a rest one request tries it; the others wait for what becomes of it.
-    return failures_ < failuresToRest || inFlight_ == 0;
+    // After a pause one request is sent; the others wait for its outcome.
+    return failures_ < failuresToPause || inFlight_ == 0;
 }
 
 auto Replica::confirmsNewerStart(const StartTime& startTime, std::uint64_t listVersion) -> bool
 {
     if (startTime > record_.start.startTime)
         return true;
-    // Replicas heartbeat about once a second, and late ones are a second or two late.
-    constexpr auto rowsToBelieve = 3U;
-    if (std::exchange(earlierVersion_, listVersion) != listVersion)
-        ++earlierBirths_;
-    return earlierBirths_ >= rowsToBelieve;
+    // Replicas send a heartbeat about once a second, and a late one arrives a second or two late.
+    constexpr auto recordsToConfirm = 3U;
+    if (std::exchange(earlierStartVersion_, listVersion) != listVersion)
+        ++earlierStartRecords_;
+    return earlierStartRecords_ >= recordsToConfirm;
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/Replica.h
+++ b/packages/serving/Replica.h
@@ -16,8 +16,8 @@
 
 namespace eelgrass::serving {
 
-/// One replica as this entry knows it: its entry in the list, the session with its agent, the connections to it, and
-/// what this entry has seen of it.
+/// One start of a replica as this entry knows it: its record in the platform's list, the session with its agent, the
+/// connections to it, and what this entry has observed about it.
 class Replica {
 public:
     Replica(TimerService& timers, ReplicaRecord record);
@@ -31,40 +31,40 @@
     [[nodiscard]] auto agent() const noexcept -> AgentLink* { return agent_.get(); }
     auto setAgent(std::unique_ptr<AgentLink> agent) -> void { agent_ = std::move(agent); }
 
-    /// Not in the list any more, or leaving: runs end there, nothing new is sent. A start that leaves never comes back;
-    /// the next one of the same name is a `Replica` of its own.
+    /// The replica is draining or has been removed from the list: running requests finish there and no new ones are
+    /// sent. This is final; the next start under the same name is a separate `Replica`.
     [[nodiscard]] auto leaving() const noexcept -> bool { return leaving_; }
     auto setLeaving() -> void { leaving_ = true; }
-    /// Its entry in the list cannot be read, as when something else has written there: it gets nothing new until it
-    /// can.
+    /// The replica's record in the list cannot be parsed, for example because another writer has overwritten it. No new
+    /// requests are sent until it can be parsed again.
     [[nodiscard]] auto unreadable() const noexcept -> bool { return unreadable_; }
     auto setUnreadable(bool unreadable) -> void { unreadable_ = unreadable; }
-    auto confirmCurrentStart() -> void { earlierBirths_ = 0; }
-    /// When the store's list last named it; empty when only a peer's did.
+    auto confirmCurrentStart() -> void { earlierStartRecords_ = 0; }
+    /// When the store's list last contained the replica; empty if only a peer's list did.
     [[nodiscard]] auto listedAt() const noexcept -> std::optional<Moment> { return listedAt_; }
     auto setListedAt(Moment at) -> void { listedAt_ = std::max(listedAt_.value_or(at), at); }
-    /// The list told of a start under its name with that birth. A late heartbeat of an earlier start may stand there
-    /// until the next one; a birth that stays is of a newer start, on a host whose time of day has jumped back.
+    /// Whether a list record with this start time shows that a newer start has replaced this one. An earlier start time
+    /// may come from a late heartbeat of an earlier start, which the next heartbeat overwrites; if it persists, it is
+    /// from a newer start on a host whose clock has been set back.
     [[nodiscard]] auto confirmsNewerStart(const StartTime& startTime, std::uint64_t listVersion) -> bool;
-    /// The store has a newer entry at its address: this start of the replica is over, or its list entry is old.
+    /// The store has a newer record with the same address: this start is over, or its record is out of date.
     [[nodiscard]] auto superseded() const noexcept -> bool { return superseded_; }
     auto setSuperseded(bool superseded) -> void { superseded_ = superseded; }
-    /// The store's version of its list entry.
+    /// The store's version of the replica's list record.
     [[nodiscard]] auto listVersion() const noexcept -> std::uint64_t { return listVersion_; }
     auto setListVersion(std::uint64_t version) -> void { listVersion_ = std::max(listVersion_, version); }
 
-    /// A request was sent.
     auto requestSent(Tokens tokens) -> void;
     auto requestEnded() -> void;
     [[nodiscard]] auto inFlight() const noexcept -> std::size_t { return inFlight_; }
-    /// The agent spoke: what was sent before is in its figures.
+    /// Called when the agent has reported its figures, which include everything sent before.
     auto agentReported() -> void
     {
         tokensSent_ = 0;
         loadsRequested_.clear();
     }
     [[nodiscard]] auto tokensSent() const noexcept -> Tokens { return tokensSent_; }
-    /// A request was sent for admission whose adapter is not there.
+    /// Notes that a request was sent for admission whose adapter is not loaded at the replica.
     auto noteLoadRequested(const AdapterName& adapter) -> void { loadsRequested_.insert(adapter); }
     [[nodiscard]] auto hasRequestedLoad(const AdapterName& adapter) const -> bool
     {
@@ -72,29 +72,30 @@
     }
     [[nodiscard]] auto loadsRequested() const noexcept -> std::size_t { return loadsRequested_.size(); }
 
-    /// The replica answered well after `took`, or failed; see `usable`.
+    /// Record an answer that arrived after `took`, or a failure; see `usable`.
     auto succeeded(Duration took) -> void;
     auto failed(Moment now) -> void;
-    /// It said that it is full.
+    /// Records that the replica refused a request because it is full.
     auto reportedFull(Moment now) -> void;
-    /// False while it rests after failures; then one request at a time tries it.
+    /// Whether a request may be sent: false if the replica is leaving, unreadable or superseded, and during a pause
+    /// after failures or a refusal. After a pause for failures, one request at a time is allowed until one succeeds.
     [[nodiscard]] auto usable(Moment now) const noexcept -> bool;
     [[nodiscard]] auto meanTime() const noexcept -> Duration { return meanTime_; }
 
-    /// What of prompts it has read, as far as this entry sent them.
+    /// The prompt prefixes that this entry has sent to the replica.
     auto prompts() noexcept -> decisions::KnownPrefixes& { return prompts_; }
     [[nodiscard]] auto prompts() const noexcept -> const decisions::KnownPrefixes& { return prompts_; }
-    /// Whether the replica held the adapter not long ago, so that its weights are still at hand there.
-    [[nodiscard]] auto warm(const AdapterName& adapter) const -> bool { return latelyHeld_.contains(adapter); }
-    /// Notes what the replica holds now; remembers the last `most`.
-    auto noteResidentAdapters(const std::map<AdapterName, AdapterVersion>& adapters, std::size_t most) -> void
+    /// Whether the replica held the adapter recently, so that it still has the weights in its memory.
+    [[nodiscard]] auto warm(const AdapterName& adapter) const -> bool { return recentAdapters_.contains(adapter); }
+    /// Notes the adapters that the replica holds now; the `maxRemembered` most recently held ones are remembered.
+    auto noteResidentAdapters(const std::map<AdapterName, AdapterVersion>& adapters, std::size_t maxRemembered) -> void
     {
-        latelyHeld_.note(adapters, most);
+        recentAdapters_.note(adapters, maxRemembered);
     }
 
 private:
-    // Prefixes of prompts remembered for each replica.
-    static constexpr auto mostPrompts = std::size_t(256);
+    // Number of prompt prefixes remembered for each replica.
+    static constexpr auto maxPrompts = std::size_t(256);
 
     ReplicaRecord record_;
     std::uint64_t idHash_;
@@ -105,18 +106,18 @@
     bool superseded_ = false;
     std::uint64_t listVersion_ = 0;
     std::optional<Moment> listedAt_;
-    /// Rows that told of an earlier birth, one after another.
-    std::uint32_t earlierBirths_ = 0;
-    std::uint64_t earlierVersion_ = 0;
+    /// Number of consecutive list records with an earlier start time, and the version of the last.
+    std::uint32_t earlierStartRecords_ = 0;
+    std::uint64_t earlierStartVersion_ = 0;
     std::size_t inFlight_ = 0;
     Tokens tokensSent_ = 0;
-    /// Adapters that this entry asked for there since the agent spoke.
+    /// Adapters that were not loaded when this entry requested them, since the agent's last report.
     std::set<AdapterName> loadsRequested_;
     std::uint32_t failures_ = 0;
-    Moment restsUntil_ {};
+    Moment pausedUntil_ {};
     Duration meanTime_ {};
-    decisions::KnownPrefixes prompts_ { mostPrompts };
-    decisions::RecentAdapters latelyHeld_;
+    decisions::KnownPrefixes prompts_ { maxPrompts };
+    decisions::RecentAdapters recentAdapters_;
 };
 
 using ReplicaPtr = std::shared_ptr<Replica>;
--- a/packages/serving/Settings.cpp
+++ b/packages/serving/Settings.cpp
@@ -45,22 +45,23 @@
 
 auto readMilliseconds(MapReader& reader, const std::string& key, milliseconds& into) -> void
 {
-    constexpr auto longest = std::uint32_t(600000);
+    constexpr auto maxMilliseconds = std::uint32_t(600000);
     auto value = static_cast<std::uint32_t>(into.count());
-    reader.number(key, value, 0, longest);
+    reader.number(key, value, 0, maxMilliseconds);
     into = milliseconds(value);
 }
 
-/// A bound that fails closed must leave time to hear from the store, or every request with a key would be refused.
+/// Once the bound has passed without news from the store, requests with a key are refused. The bound must therefore
+/// leave time for an answer from the store, or every such request would be refused.
 auto readKeyBound(MapReader& reader, std::optional<milliseconds>& into) -> void
 {
-    constexpr auto least = milliseconds(1000);
+    constexpr auto minBound = milliseconds(1000);
     auto bound = milliseconds(0);
     readMilliseconds(reader, "key_bound_ms", bound);
     if (bound.count() == 0)
         return;
-    if (bound < least)
-        reader.noteAt("key_bound_ms", "must be 0 for none, or " + std::to_string(least.count()) + " and more");
+    if (bound < minBound)
+        reader.noteAt("key_bound_ms", "must be 0 for none, or " + std::to_string(minBound.count()) + " and more");
     into = bound;
 }
 
--- a/packages/serving/Settings.h
+++ b/packages/serving/Settings.h
@@ -10,23 +10,23 @@
 
 namespace eelgrass::serving {
 
-/// What both roles on the users' machines are told at their start.
+/// Settings that both roles on the users' machines have in common.
 struct HostSettings {
     std::string name;
     AvailabilityZone zone;
     /// The platform's store.
     Endpoint store;
-    /// Address of this host, and the port at which agents are found on every host.
+    /// Address of this host, and the port on which agents listen on every host.
     std::string address;
     std::uint16_t agentPort = 0;
-    /// Where counters and histograms are served.
+    /// Port on which metrics are served; 0 disables them.
     std::uint16_t metricsPort = 0;
     std::string logLevel = "INFO";
 };
 
-/// How far members may pass their quotas for a moment.
+/// How far members may temporarily exceed their quotas.
 struct QuotaBounds {
-    /// A share of the limit in each window, and units beside.
+    /// A fraction of the limit in each window, and a number of units in addition.
     double overage = 0;
     double slack = 0;
     milliseconds window { 10000 };
@@ -35,26 +35,27 @@
 /// Settings of `--role=gateway`.
 struct GatewaySettings {
     HostSettings host;
-    /// Where clients, the readiness probe and other entries come in.
+    /// Addresses on which clients, the readiness probe and other entries connect.
     Endpoint clients;
     Endpoint readiness;
     Endpoint peers;
-    /// Entries to ask for what the store does not tell.
+    /// Entries to ask for data that the store does not provide.
     std::vector<Endpoint> seeds;
     decisions::RetryBounds retries;
-    /// Within this a replica that leaves gets nothing new, and a configuration is in force.
+    /// Time limits within which a draining replica receives no new requests, and within which a new configuration is in
+    /// force.
     milliseconds drainBound { 2000 };
     milliseconds configurationBound { 2000 };
-    /// Within this a key that was taken away is out of use, also where nobody can tell of it; empty where an entry may
-    /// go on by what it knows.
+    /// Time limit within which a revoked key stops working, even at an entry that cannot learn of the revocation. Empty
+    /// if such an entry may go on with the configuration it has.
     std::optional<milliseconds> keyBound;
     QuotaBounds quotas;
     /// Share of a core available to this process. The entry with the largest share reads the store for its zone.
     double processorShare = 1;
     /// How long a planned stop may take.
     milliseconds grace { 8000 };
-    /// What a request to a replica in another zone costs, as a time: the way there and back, and for each KiB of its
-    /// body. The users pay for bytes between zones about what four milliseconds of waiting are worth to them.
+    /// The cost of sending a request to a replica in another zone, expressed as time: for the round trip, and per KiB
+    /// of the body. The users value the traffic charge for one KiB between zones at about four milliseconds of waiting.
     milliseconds zonePenalty { 5 };
     milliseconds zonePenaltyPerKiB { 4 };
 };
@@ -62,10 +63,10 @@
 /// Settings of `--role=agent`.
 struct AgentSettings {
     HostSettings host;
-    /// The replica on this host, and the service that it belongs to.
+    /// The replica on this host, and the service it belongs to.
     Endpoint replica;
     ServiceName service;
-    /// Set at the first start of the whole system, when no requests are waiting for this agent yet.
+    /// Set at the first start of the whole deployment, when no requests are waiting for this agent yet.
     bool firstStart = false;
     milliseconds grace { 8000 };
 };
--- a/packages/serving/TextServer.h
+++ b/packages/serving/TextServer.h
@@ -10,7 +10,7 @@
 
 namespace eelgrass::serving {
 
-/// Serves small texts by path: readiness, metrics.
+/// An HTTP server for small text responses such as readiness and metrics.
 class TextServer {
 public:
     struct Answer {
@@ -32,8 +32,8 @@
     wire::TcpListener listener_;
 };
 
-/// Serves a process's figures at every path; null for port 0, and where the address cannot be listened on: a process
-/// goes on without its metrics.
+/// Serves the metrics of this process at every path. Returns null for port 0, and if listening on the address fails, in
+/// which case the process runs without a metrics endpoint.
 [[nodiscard]] auto serveMetrics(TimerService& timers, const Endpoint& endpoint, const router::Metrics& metrics)
     -> std::unique_ptr<TextServer>;
 
--- a/packages/serving/Types.h
+++ b/packages/serving/Types.h
@@ -18,49 +18,49 @@
 
 using ServiceName = StrongId<struct ServiceNameTag>;
 using RouteName = StrongId<struct RouteNameTag>;
-/// A replica's name; it may start again under the same one, see `ReplicaStart`.
+/// A replica's instance name. A replica may restart under the same name; see `ReplicaStart`.
 using InstanceId = StrongId<struct InstanceIdTag>;
-/// When a replica started, in Unix milliseconds; 0 where it has not said.
+/// When a replica started, in Unix milliseconds; 0 if unknown.
 using StartTime = StrongNumber<struct StartTimeTag>;
-/// Within its base model; empty for the base model itself.
+/// An adapter's name within its base model; empty for the base model itself.
 using AdapterName = AdapterId;
 using BaseModel = StrongId<struct BaseModelTag>;
 using Tokens = std::uint64_t;
-/// What a caller shows to be known as a member. It is never logged, counted by or passed on.
+/// The key by which a client is identified as a member. It is never logged, used in metrics or forwarded.
 using ApiKey = StrongId<struct ApiKeyTag>;
 
-/// What may be repeated.
+/// Whether a request may be run again.
 enum class Repeat {
     /// May run more than once.
     Idempotent,
-    /// At most one run for each attempt of a client.
+    /// Runs at most once for each attempt of a client.
     Once,
 };
 
-/// What a member may have run, over all entries together.
+/// The requests or tokens that a member may use, over all entries together.
 struct Quota {
     enum class Unit { Requests, Tokens };
 
     Unit unit = Unit::Requests;
-    /// Units for each second, and how many beside at once; a rate of 0 sets no limit.
+    /// Units per second, and how many more may be used at once. A rate of 0 sets no limit.
     double ratePerSecond = 0;
     double burst = 0;
-    /// Tokens that a request counts for which tells none.
+    /// Tokens counted for a request that does not state its token count.
     double defaultTokens = 0;
 
     [[nodiscard]] auto limits() const noexcept -> bool { return ratePerSecond > 0; }
 };
 
-/// A customer of the deployment, known by its keys.
+/// A customer of the deployment, identified by its keys.
 struct MemberRecord {
     MemberId name;
     std::vector<ApiKey> keys;
-    /// Goes before the route's.
+    /// Overrides the route's priority.
     std::optional<std::uint32_t> priority;
     Quota quota;
 };
 
-/// Where requests of one host and path prefix go, and how.
+/// The services that requests for one host and path prefix are sent to, and the rules that apply to them.
 struct RouteRecord {
     struct Share {
         ServiceName service;
@@ -72,34 +72,34 @@
     /// Begins and ends with a slash.
     std::string prefix;
     Repeat repeat = Repeat::Once;
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     bool streamed = false;
-    /// A broken stream may go on elsewhere after the last event that came.
+    /// A broken stream may be resumed at another replica after the last event received.
     bool resumable = false;
     milliseconds timeout { 10000 };
-    /// Within this the answer, or its first event, is on time.
+    /// Target for the time until the answer, or the first event of a stream, reaches the client.
     milliseconds latencyTarget { 1000 };
-    /// Longest pause between two events of a stream that is still on time.
+    /// Target for the longest gap between two events of a stream.
     milliseconds eventGapTarget { 300 };
-    /// Whoever calls needs no key.
+    /// Clients need no key.
     bool isPublic = false;
     /// 0 is the most urgent.
     std::uint32_t priority = 5;
-    /// Replicas that one attempt of a client may run on.
+    /// How many replicas one attempt of a client may run on.
     std::uint32_t maxRuns = 1;
     std::vector<Share> shares;
 
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may already have run may be sent again.
     [[nodiscard]] auto repeatable() const noexcept -> bool { return repeat == Repeat::Idempotent || resumable; }
 };
 
-/// What is known of the model engines behind a service.
+/// Properties of the model engines behind a service.
 struct EngineTraits {
     std::uint32_t batch = 1;
     Tokens memory = 0;
     std::uint32_t adapterSlots = 0;
     double weightsMiB = 0;
-    /// Loads of base models that the weight store allows in a second, over all replicas.
+    /// Base model loads per second that the weight store allows, over all replicas.
     double loadsPerSecond = 1;
     std::vector<BaseModel> models;
 };
@@ -107,38 +107,38 @@
 struct ServiceRecord {
     ServiceName name;
     std::string healthPath = "/health";
-    /// Connections that one replica takes from all callers together.
+    /// Connections that one replica accepts from all callers together.
     std::uint32_t connectionLimit = 100;
     std::optional<EngineTraits> engine;
 };
 
-/// What a client may send, and how long it may take.
+/// Limits on the size of a client's requests, on the time to receive their headers and on idle time.
 struct CallerLimits {
     wire::HttpLimits http;
     milliseconds headerTime { 10000 };
     milliseconds idleTime { 30000 };
 };
 
-/// One accepted configuration; it never changes.
+/// An accepted configuration; immutable.
 struct ServingConfiguration {
     ConfigVersion version;
     std::vector<RouteRecord> routes;
     std::map<ServiceName, ServiceRecord> services;
-    /// Without any, nobody needs a key.
+    /// If empty, no client needs a key.
     std::vector<MemberRecord> members;
     CallerLimits limits;
-    /// As the operator wrote it, to be handed to peers.
+    /// The operator's document, passed on to peers unchanged.
     std::string text;
 };
 
-/// One start of a replica. What was known of an earlier start under the same name (adapters, prompts, failures,
-/// leaving) says nothing of this one: it begins empty.
+/// One start of a replica. Nothing known about an earlier start under the same name (adapters, prompts, failures,
+/// draining) applies to this one, which begins empty.
 struct ReplicaStart {
     InstanceId instance;
     StartTime startTime;
 };
 
-/// Whether both may be the same start. A birth that was not told tells no two starts apart.
+/// Whether both may be the same start. An unknown start time matches any other.
 [[nodiscard]] inline auto sameStart(const ReplicaStart& left, const ReplicaStart& right) noexcept -> bool
 {
     const auto told = left.startTime != StartTime() && right.startTime != StartTime();
@@ -147,46 +147,46 @@
 
 enum class ReplicaPhase { Ready, Draining };
 
-/// How a request ended at a replica.
+/// How a run of a request ended at a replica.
 enum class RunEnd {
-    /// It answered, or nothing can be said.
+    /// The replica answered, or nothing is known about the outcome.
     Plain,
-    /// It answered with a failure of its own.
+    /// The replica answered with an error of its own.
     Failed,
-    /// It broke off, or kept silent, before its first event.
+    /// The connection broke, or the replica stayed silent, before the first event.
     Broke,
 };
 
-/// A replica as the platform's list has it.
+/// A replica as the platform's list describes it.
 struct ReplicaRecord {
     ReplicaStart start;
     ServiceName service;
     Endpoint endpoint;
     AvailabilityZone zone;
     ReplicaPhase phase = ReplicaPhase::Ready;
-    /// Requests at once.
+    /// Number of concurrent requests.
     std::uint32_t slots = 1;
     bool hasBaseModel = false;
     std::map<AdapterName, AdapterVersion> adapters;
 };
 
-/// One shared part of a prompt.
+/// A part of a prompt that other prompts may share.
 struct PromptPart {
     std::string id;
     Tokens tokens = 0;
 };
 
-/// What a client said of its request.
+/// What a client states about its request in its headers.
 struct RequestMetadata {
     AttemptId attempt;
-    /// How long the client will wait, from its sending.
+    /// How long the client will wait, counted from when it sent the request.
     std::optional<milliseconds> deadline;
     BaseModel model;
     AdapterName adapter;
     Tokens promptTokens = 0;
     Tokens outputTokens = 0;
     std::vector<PromptPart> prompt;
-    /// The last event that the client has already.
+    /// Id of the last event that the client has already received.
     std::optional<std::uint64_t> lastEventId;
 };
 
--- a/tests/integration/ServingStops.cpp
+++ b/tests/integration/ServingStops.cpp
@@ -6,10 +6,10 @@
 using eelgrass::standins::ReplicaStandin;
 using eelgrass::tests::ServingWorld;
 
-// The caller gets its whole answer, and knows that the connection ends with it.
-// 1. A request runs. 2. Its entry is told to stop. 3. The answer comes whole and says that the connection closes; a
-// request sent on it afterwards would be cut when the entry ends.
-BOOST_AUTO_TEST_CASE(a_stop_cuts_no_answer_and_closes_behind_it)
+// When an entry is told to stop, its running requests are answered completely, and the answers announce that the
+// connection closes. Otherwise a client would send its next request on the connection, and that would be cut when the
+// entry exits.
+BOOST_AUTO_TEST_CASE(stop_completes_running_answers_and_closes_the_connection)
 {
     auto world = ServingWorld(0, 1);
     auto& gateway = world.startGateway();
@@ -20,10 +20,10 @@
     BOOST_TEST(answer.fields.get("Connection") == "close");
 }
 
-// A caller that comes late to a stopping entry is turned away at once and tries another one.
-// 1. No other entry of the zone is ready, so the platform goes on sending connections to the stopping one. 2. Taken, a
-// long stream would be cut at the end of the time for a stop, seconds after it began. 3. So the entry stops listening.
-BOOST_AUTO_TEST_CASE(a_stopping_entry_takes_no_late_connection)
+// If no other entry of the zone is ready, the platform keeps sending connections to a stopping one. A long stream
+// accepted then would be cut seconds after it began, when the time for the stop ends. The entry therefore stops
+// listening, so that clients are refused at once and try another entry.
+BOOST_AUTO_TEST_CASE(stopping_entry_refuses_new_connections)
 {
     auto world = ServingWorld(1, 1);
     auto& gateway = world.startGateway();
