--- a/packages/decisions/Fleet.cpp
+++ b/packages/decisions/Fleet.cpp
@@ -8,10 +8,14 @@
 
 namespace {
 
-// A load that did not come by now failed or was given up; a report that lacks it is not merely late any more.
-constexpr auto comingFor = Duration(20s);
+// A load that was not reported within this time failed or was abandoned; its absence is no longer due to a delayed
+// report.
+constexpr auto pendingLoadTimeout = Duration(20s);
 
-auto loadsOf(const TargetView& view) -> std::size_t { return std::max(view.loadsWaiting, view.coming.size()); }
+auto waitingLoadsOf(const TargetView& view) -> std::size_t
+{
+    return std::max(view.loadsWaiting, view.pendingLoads.size());
+}
 
 } // namespace
 
@@ -22,8 +26,8 @@
 
 auto Fleet::indexOf(const TargetId& target) const -> const Index*
 {
-    const auto found = byId_.find(target);
-    return found == byId_.end() ? nullptr : &found->second;
+    const auto found = indexById_.find(target);
+    return found == indexById_.end() ? nullptr : &found->second;
 }
 
 auto Fleet::find(const TargetId& target) const -> const TargetView*
@@ -42,7 +46,7 @@
         return addToIndexes(index);
     }
     const auto index = static_cast<Index>(views_.size());
-    byId_[view.id] = index;
+    indexById_[view.id] = index;
     hashes_.push_back(nameHash(view.id.view()));
     views_.push_back(std::move(view));
     addToIndexes(index);
@@ -56,12 +60,12 @@
     const auto index = *known;
     const auto last = static_cast<Index>(views_.size() - 1);
     removeFromIndexes(index);
-    byId_.erase(target);
+    indexById_.erase(target);
     if (index != last) {
         removeFromIndexes(last);
         views_[index] = std::move(views_[last]);
         hashes_[index] = hashes_[last];
-        byId_[views_[index].id] = index;
+        indexById_[views_[index].id] = index;
         addToIndexes(index);
     }
     views_.pop_back();
@@ -75,11 +79,11 @@
         return;
     const auto index = *known;
     auto& view = views_[index];
-    loadsWaiting_ -= loadsOf(view);
+    loadsWaiting_ -= waitingLoadsOf(view);
     for (const auto& model : view.resident)
         removeHolder(model, index);
-    for (const auto& coming : view.coming)
-        removeHolder(coming.model, index);
+    for (const auto& load : view.pendingLoads)
+        removeHolder(load.model, index);
     view.leaving = view.leaving || report.leaving;
     view.queued = report.queued;
     view.running = report.running;
@@ -92,13 +96,13 @@
     view.resident = std::move(report.resident);
     view.sentSinceReport = 0;
     view.reportedAt = now;
-    std::erase_if(
-        view.coming, [&](const auto& coming) { return now - coming.since >= comingFor || holds(view, coming.model); });
+    std::erase_if(view.pendingLoads,
+        [&](const auto& load) { return now - load.since >= pendingLoadTimeout || holds(view, load.model); });
     for (const auto& model : view.resident)
         addHolder(model, index);
-    for (const auto& coming : view.coming)
-        addHolder(coming.model, index);
-    loadsWaiting_ += loadsOf(view);
+    for (const auto& load : view.pendingLoads)
+        addHolder(load.model, index);
+    loadsWaiting_ += waitingLoadsOf(view);
 }
 
 auto Fleet::sent(Index index, const ModelName& model, Moment now) -> void
@@ -108,9 +112,9 @@
     const auto holding = holders(model);
     if (model.empty() || std::find(holding.begin(), holding.end(), index) != holding.end())
         return;
-    loadsWaiting_ -= loadsOf(view);
-    view.coming.push_back({ model, now });
-    loadsWaiting_ += loadsOf(view);
+    loadsWaiting_ -= waitingLoadsOf(view);
+    view.pendingLoads.push_back({ model, now });
+    loadsWaiting_ += waitingLoadsOf(view);
     addHolder(model, index);
 }
 
@@ -120,10 +124,10 @@
     if (!index)
         return;
     auto& view = views_[*index];
-    loadsWaiting_ -= loadsOf(view);
-    for (const auto& coming : view.coming)
-        removeHolder(coming.model, *index);
-    view.coming.clear();
+    loadsWaiting_ -= waitingLoadsOf(view);
+    for (const auto& load : view.pendingLoads)
+        removeHolder(load.model, *index);
+    view.pendingLoads.clear();
     view.queued = 0;
     view.running = 0;
     view.awaitingLoad = 0;
@@ -152,54 +156,54 @@
 auto Fleet::serving(const std::string& serves) const -> const Group&
 {
     static const auto none = Group();
-    const auto found = byService_.find(serves);
-    return found == byService_.end() ? none : found->second;
+    const auto found = groupsByService_.find(serves);
+    return found == groupsByService_.end() ? none : found->second;
 }
 
 auto Fleet::holders(const ModelName& model) const -> std::span<const Index>
 {
-    const auto found = byModel_.find(model);
-    return found == byModel_.end() ? std::span<const Index>() : std::span<const Index>(found->second);
+    const auto found = holdersByModel_.find(model);
+    return found == holdersByModel_.end() ? std::span<const Index>() : std::span<const Index>(found->second);
 }
 
 auto Fleet::addToIndexes(Index index) -> void
 {
     const auto& view = views_[index];
-    auto& group = byService_[view.serves];
+    auto& group = groupsByService_[view.serves];
     group.targets.push_back(index);
     group.hashes.push_back(hashes_[index]);
     for (const auto& model : view.resident)
         addHolder(model, index);
-    for (const auto& coming : view.coming)
-        addHolder(coming.model, index);
-    loadsWaiting_ += loadsOf(view);
+    for (const auto& load : view.pendingLoads)
+        addHolder(load.model, index);
+    loadsWaiting_ += waitingLoadsOf(view);
 }
 
 auto Fleet::removeFromIndexes(Index index) -> void
 {
     const auto& view = views_[index];
-    auto& group = byService_[view.serves];
+    auto& group = groupsByService_[view.serves];
     const auto place = std::find(group.targets.begin(), group.targets.end(), index) - group.targets.begin();
     group.targets.erase(group.targets.begin() + place);
     group.hashes.erase(group.hashes.begin() + place);
     for (const auto& model : view.resident)
         removeHolder(model, index);
-    for (const auto& coming : view.coming)
-        removeHolder(coming.model, index);
-    loadsWaiting_ -= loadsOf(view);
+    for (const auto& load : view.pendingLoads)
+        removeHolder(load.model, index);
+    loadsWaiting_ -= waitingLoadsOf(view);
 }
 
-auto Fleet::addHolder(const ModelName& model, Index index) -> void { byModel_[model].push_back(index); }
+auto Fleet::addHolder(const ModelName& model, Index index) -> void { holdersByModel_[model].push_back(index); }
 
 auto Fleet::removeHolder(const ModelName& model, Index index) -> void
 {
-    const auto found = byModel_.find(model);
-    if (found == byModel_.end())
+    const auto found = holdersByModel_.find(model);
+    if (found == holdersByModel_.end())
         return;
     std::erase(found->second, index);
-    // Most adapters idle: what nobody holds costs nothing.
+    // Most adapters are held by no target, so empty entries are removed to save memory.
     if (found->second.empty())
-        byModel_.erase(found);
+        holdersByModel_.erase(found);
 }
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/Placer.cpp
+++ b/packages/decisions/Placer.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-// One load at full speed; the store gives two a second.
+// Duration of one load at full speed; the weight store serves two loads per second.
 constexpr auto loadTime = Duration(500ms);
-// A further holder must be worth half as much again as its load, or entries with late views load for nothing.
+// An additional holder must save at least 1.5 times the cost of its load. Without this margin, entries whose views are
+// outdated order unnecessary loads.
 constexpr auto growthMargin = 1.5;
-// Loads counted as waiting before a further holder's own. A popular adapter's load overtakes most of them, so counting
-// all would keep it on one full target while others idle.
-constexpr auto mostLoadsBefore = std::size_t(4);
-// A holder that was not needed for this long is left to fade: longer than the gaps of an ordinary burst.
-constexpr auto holderHalfLife = Duration(30s);
-// Candidates for a first load: enough to step around a full target, few enough that entries agree on them.
-constexpr auto mostNewcomers = std::size_t(4);
-// Reload cost of what gives way counts up to this demand; beyond it the target is as good as closed.
-constexpr auto evictionCap = 8.0;
-constexpr auto otherZone = Duration(1ms);
-// Time that a target twice as slow as its peers costs a request beyond its queue.
-constexpr auto slownessCost = Duration(1s);
+// Upper bound of the loads counted as queued ahead of an additional holder's load. The load of a popular adapter
+// overtakes most of the queue, so counting all of it would confine the adapter to one full target while others idle.
+constexpr auto maxLoadsAhead = std::size_t(4);
+// A holder that was not needed for this long is no longer used. Longer than the gaps within a normal burst.
+constexpr auto holderIdleLimit = Duration(30s);
+// Candidates for loading an adapter: enough to avoid a full target, few enough that all entries agree on them.
+constexpr auto maxLoadCandidates = std::size_t(4);
+// Upper bound of the demand for the evicted adapter that counts as cost; a target above it is in effect excluded.
+constexpr auto maxEvictionCost = 8.0;
+constexpr auto crossZoneLatency = Duration(1ms);
+// Delay added, besides the slower queue, for a target that is twice as slow as its peers.
+constexpr auto slownessPenalty = Duration(1s);
 
 auto eligible(const PlacementRequest& request, const TargetView& view) -> bool
 {
@@ -36,36 +37,37 @@
     return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-/// Wait for a place in the batch, by the last report and what was sent since.
-auto placeWait(const PlacementRequest& request, const TargetView& view) -> Duration
+/// Expected wait for a free place in the target's batch, from its last report and the requests sent since then.
+auto batchWait(const PlacementRequest& request, const TargetView& view) -> Duration
 {
-    // Those that wait for a load do not stand before a request whose adapter is there.
+    // Requests that wait for a load do not delay a request whose adapter is resident.
     const auto waiting = view.queued > view.awaitingLoad ? view.queued - view.awaitingLoad : 0;
     const auto busy = view.running + waiting + view.sentSinceReport;
     const auto ahead = busy >= view.batchLimit ? busy - view.batchLimit + 1 : 0;
     auto wait = view.placeTime * static_cast<Duration::rep>(ahead);
     if (view.slowness > 1)
-        wait = scaled(wait, view.slowness) + scaled(slownessCost, view.slowness - 1);
-    return view.zone == request.zone ? wait : wait + otherZone;
+        wait = scaled(wait, view.slowness) + scaled(slownessPenalty, view.slowness - 1);
+    return view.zone == request.zone ? wait : wait + crossZoneLatency;
 }
 
 auto loadCost(const Fleet& fleet) -> Duration
 {
-    const auto turns = std::min(fleet.loadsWaiting(), mostLoadsBefore) + 1;
+    const auto turns = std::min(fleet.loadsWaiting(), maxLoadsAhead) + 1;
     return scaled(loadTime * static_cast<Duration::rep>(turns), growthMargin);
 }
 
-/// Cost of a first load there: the wait, what it pushes out, and the loads that wait there already.
-auto newcomerCost(const PlacementRequest& request, const TargetView& view) -> Duration
+/// Cost of loading the adapter at a target that does not hold it: the wait for a place, the reload of the evicted
+/// adapter, and the loads that already wait there.
+auto loadCandidateCost(const PlacementRequest& request, const TargetView& view) -> Duration
 {
-    const auto pushedOut = scaled(loadTime, std::min(view.evictionCost, evictionCap));
-    const auto loads = std::max(view.loadsWaiting, view.coming.size());
-    return placeWait(request, view) + pushedOut + loadTime * static_cast<Duration::rep>(loads);
+    const auto reloadCost = scaled(loadTime, std::min(view.evictionCost, maxEvictionCost));
+    const auto queuedLoads = std::max(view.loadsWaiting, view.pendingLoads.size());
+    return batchWait(request, view) + reloadCost + loadTime * static_cast<Duration::rep>(queuedLoads);
 }
 
 auto holderCost(const PlacementRequest& request, const TargetView& view) -> Duration
 {
-    const auto wait = placeWait(request, view);
+    const auto wait = batchWait(request, view);
     return holds(view, request.model) ? wait : std::max(wait, loadTime);
 }
 
@@ -80,9 +82,9 @@
         return Reason::Tried;
     if (request.model.empty() || holds(view, request.model))
         return Reason::Holds;
-    const auto coming = std::any_of(
-        view.coming.begin(), view.coming.end(), [&](const auto& one) { return one.model == request.model; });
-    return coming ? Reason::LoadComing : Reason::MustLoad;
+    const auto loading = std::any_of(view.pendingLoads.begin(), view.pendingLoads.end(),
+        [&](const auto& one) { return one.model == request.model; });
+    return loading ? Reason::LoadComing : Reason::MustLoad;
 }
 
 } // namespace
@@ -106,7 +108,7 @@
     return "";
 }
 
-auto Placer::next() noexcept -> std::uint64_t
+auto Placer::nextRandom() noexcept -> std::uint64_t
 {
     random_ += 0x9e3779b97f4a7c15U;
     return rendezvousScore(random_, 1);
@@ -116,45 +118,47 @@
 {
     if (const auto holder = bestHolder(request, fleet, now))
         return holder->index;
-    const auto candidates = newcomers(request, fleet);
+    const auto candidates = loadCandidates(request, fleet);
     if (candidates.count == 0)
-        return busyHolder(request, fleet);
-    // A plain service holds no adapters, so any will do and two random ones keep entries from herding. For a load all
-    // entries must come to the same choice, or each of them loads the adapter somewhere else.
+        return anyHolder(request, fleet);
+    // A plain service holds no adapters, so any target will do, and picking from two random ones keeps entries from all
+    // choosing the same target. For a load, all entries must make the same choice, or each of them would load the
+    // adapter at a different target.
     if (request.model.empty())
-        return pickOfTwo(candidates, candidates.count).index;
+        return pickBetterOfTwo(candidates, candidates.count).index;
     return std::min_element(candidates.at.begin(), candidates.at.begin() + candidates.count,
         [](const auto& a, const auto& b) { return a.cost < b.cost; })
         ->index;
 }
 
-// Load made for: a surge for an adapter that every target holds. One more holder would be worth its load, but there is
-// nobody to become one; a request refused for that would be lost while a holder could take it.
-auto Placer::busyHolder(const PlacementRequest& request, const Fleet& fleet) -> std::optional<Fleet::Index>
+// Handles a surge for an adapter that every target holds: another holder would be worth its load, but no target is left
+// to become one. Without this fallback the request would be refused although a holder could take it.
+auto Placer::anyHolder(const PlacementRequest& request, const Fleet& fleet) -> std::optional<Fleet::Index>
 {
     const auto candidates = holders(request, fleet);
     if (candidates.count == 0)
         return std::nullopt;
-    return pickOfTwo(candidates, candidates.count).index;
+    return pickBetterOfTwo(candidates, candidates.count).index;
 }
 
-/// Empty when the adapter should be loaded at one more target.
+/// Returns no value if the adapter should be loaded at an additional target.
 auto Placer::bestHolder(const PlacementRequest& request, const Fleet& fleet, Moment now) -> std::optional<Candidate>
 {
     const auto candidates = holders(request, fleet);
     if (candidates.count == 0)
         return std::nullopt;
     const auto cost = loadCost(fleet);
-    const auto wanted = updateWanted(request.model, candidates, cost, now);
-    const auto chosen = pickOfTwo(candidates, std::min(wanted, candidates.count));
+    const auto wanted = updateWantedHolders(request.model, candidates, cost, now);
+    const auto chosen = pickBetterOfTwo(candidates, std::min(wanted, candidates.count));
     if (wanted > candidates.count)
         return std::nullopt;
     return chosen;
 }
 
-// One more holder when the wait at those in use exceeds the cost of a load; one less after a half-life in which all but
-// the last would have done. Between the two lies the hysteresis that keeps an adapter from coming and going.
-auto Placer::updateWanted(const ModelName& model, const Candidates& candidates, Duration cost, Moment now)
+// Adds a holder when the wait at the holders in use exceeds the cost of a load, and removes one after `holderIdleLimit`
+// during which one fewer would have sufficed. The gap between the two thresholds is hysteresis: it prevents the adapter
+// from being loaded and evicted repeatedly.
+auto Placer::updateWantedHolders(const ModelName& model, const Candidates& candidates, Duration cost, Moment now)
     -> std::size_t
 {
     const auto least = [&](std::size_t among) {
@@ -163,36 +167,36 @@
             return a.cost < b.cost;
         })->cost;
     };
-    const auto found = wanted_.find(model);
-    const auto known = found == wanted_.end() ? Wanted() : found->second;
+    const auto found = wantedHolders_.find(model);
+    const auto known = found == wantedHolders_.end() ? WantedHolders() : found->second;
     if (least(known.count) > cost) {
-        // No more than one ahead of the holders that are there: the load just asked for is not there yet.
-        const auto grown = std::min(known.count, candidates.count) + 1;
-        if (grown <= mostCandidates)
-            wanted_[model] = { grown, now };
-        return grown;
+        // At most one more than the existing holders, because the load just requested is not yet complete.
+        const auto increased = std::min(known.count, candidates.count) + 1;
+        if (increased <= maxCandidates)
+            wantedHolders_[model] = { increased, now };
+        return increased;
     }
     if (known.count == 1)
         return 1;
     if (least(known.count - 1) > cost / 2)
         found->second.neededAt = now;
-    else if (now - known.neededAt > holderHalfLife) {
+    else if (now - known.neededAt > holderIdleLimit) {
         found->second = { known.count - 1, now };
         if (found->second.count == 1)
-            wanted_.erase(found);
+            wantedHolders_.erase(found);
         return known.count - 1;
     }
     return std::min(known.count, candidates.count);
 }
 
-auto Placer::pickOfTwo(const Candidates& candidates, std::size_t among) -> Candidate
+auto Placer::pickBetterOfTwo(const Candidates& candidates, std::size_t among) -> Candidate
 {
-    const auto& first = candidates.at[next() % among];
-    const auto& second = candidates.at[next() % among];
+    const auto& first = candidates.at[nextRandom() % among];
+    const auto& second = candidates.at[nextRandom() % among];
     return second.cost < first.cost ? second : first;
 }
 
-/// Holders in rendezvous order, so that all entries use the same ones and the rest fade.
+/// Returns the holders in rendezvous order, so that all entries use the same ones and the others lose their demand.
 auto Placer::holders(const PlacementRequest& request, const Fleet& fleet) const -> Candidates
 {
     auto found = Candidates();
@@ -203,7 +207,7 @@
             continue;
         const auto candidate = Candidate { index, rendezvousScore(key, fleet.hash(index)), holderCost(request, view) };
         auto place = found.at.begin() + found.count;
-        if (found.count == mostCandidates) {
+        if (found.count == maxCandidates) {
             if (candidate.score < found.at.back().score)
                 continue;
             --place;
@@ -216,8 +220,8 @@
     return found;
 }
 
-/// The first few in rendezvous order that do not hold the adapter.
-auto Placer::newcomers(const PlacementRequest& request, const Fleet& fleet) const -> Candidates
+/// Returns the first `maxLoadCandidates` targets in rendezvous order that do not hold the adapter.
+auto Placer::loadCandidates(const PlacementRequest& request, const Fleet& fleet) const -> Candidates
 {
     auto found = Candidates();
     const auto key = nameHash(request.model.view());
@@ -225,20 +229,20 @@
     const auto holding = fleet.holders(request.model);
     for (auto member = std::size_t(0); member < group.targets.size(); ++member) {
         const auto score = rendezvousScore(key, group.hashes[member]);
-        if (found.count == mostNewcomers && score < found.at[found.count - 1].score)
+        if (found.count == maxLoadCandidates && score < found.at[found.count - 1].score)
             continue;
         const auto index = group.targets[member];
         const auto& view = fleet.views()[index];
         if (!eligible(request, view) || std::find(holding.begin(), holding.end(), index) != holding.end())
             continue;
         auto place = found.at.begin() + found.count;
-        if (found.count == mostNewcomers)
+        if (found.count == maxLoadCandidates)
             --place;
         else
             ++found.count;
         for (; place != found.at.begin() && std::prev(place)->score < score; --place)
             *place = *std::prev(place);
-        *place = { index, score, newcomerCost(request, view) };
+        *place = { index, score, loadCandidateCost(request, view) };
     }
     return found;
 }
@@ -251,7 +255,7 @@
         const auto& view = fleet.views()[index];
         auto one = Explanation { view.id, reasonFor(request, view), {}, cost, view.slowness };
         if (one.reason == Explanation::Reason::MustLoad)
-            one.expectedStart = newcomerCost(request, view);
+            one.expectedStart = loadCandidateCost(request, view);
         else if (one.reason < Explanation::Reason::MustLoad)
             one.expectedStart = holderCost(request, view);
         explanations.push_back(std::move(one));
@@ -264,8 +268,8 @@
 
 auto Placer::wantedHolders(const ModelName& model) const -> std::size_t
 {
-    const auto found = wanted_.find(model);
-    return found == wanted_.end() ? 1 : found->second.count;
+    const auto found = wantedHolders_.find(model);
+    return found == wantedHolders_.end() ? 1 : found->second.count;
 }
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/Placer.h
+++ b/packages/decisions/Placer.h
@@ -10,39 +10,42 @@
 
 namespace eelgrass::decisions {
 
-/// What placement needs to know of a request.
+/// The properties of a request that placement depends on.
 struct PlacementRequest {
-    /// Empty for a plain service.
+    /// Adapter that the request uses; empty for a plain service.
     ModelName model;
+    /// Base model or plain service that a target must serve.
     std::string serves;
     AvailabilityZone zone;
-    /// Targets that refused it already.
+    /// Targets that have already refused the request.
     std::vector<TargetId> tried;
 };
 
-/// One target as placement sees it for a request.
+/// How placement rates one target for a request.
 struct Explanation {
     enum class Reason { Holds, LoadComing, MustLoad, Tried, Leaving, Unreachable };
 
     TargetId target;
     Reason reason = Reason::MustLoad;
-    /// When the request would start there; zero for what may not take it.
+    /// Expected wait until the request starts at the target; zero if the target is not usable.
     Duration expectedStart {};
-    /// What one more holder of the adapter would cost all who wait for loads.
+    /// Delay that one more load of the adapter adds for all requests that wait for loads.
     Duration loadCost {};
+    /// Time to first token relative to the target's peers; 1 means equally fast.
     double slowness = 1;
 
-    /// Whether the request may go there.
+    /// Whether the request may be sent to the target.
     [[nodiscard]] auto usable() const noexcept -> bool { return reason <= Reason::MustLoad; }
 };
 [[nodiscard]] auto toString(Explanation::Reason) noexcept -> std::string_view;
 
-/// Chooses the target of a request by the least expected start among those that hold its adapter and a few that could.
+/// Chooses the target with the earliest expected start, among the targets that hold the request's adapter and a few
+/// that could load it.
 ///
-/// Load made for: skewed demand over far more adapters than slots, and reports that are late.
-/// Harm prevented: loads that nobody needed, entries that all choose the same idle target, a popular adapter bound to
-/// one full target, requests sent to a slow one.
-/// The reasons of the limits stand with the constants in Placer.cpp; docs/DECISIONS.md has the measurements.
+/// Expected load: skewed demand over far more adapters than slots, with delayed reports from targets.
+/// Prevents: unnecessary loads, all entries choosing the same idle target, a popular adapter confined to one full
+/// target, and requests sent to a slow target.
+/// The constants in Placer.cpp state the reasons for their values; docs/DECISIONS.md has the measurements.
 ///
 /// ```cpp
 /// auto chosen = placer.choose(request, fleet, now);
@@ -56,41 +59,42 @@
     {
     }
 
-    /// Empty when no target may take the request.
+    /// Returns no value if no target may take the request.
     [[nodiscard]] auto choose(const PlacementRequest&, const Fleet&, Moment now) -> std::optional<Fleet::Index>;
-    /// The candidates as `choose` sees them, best first. Changes nothing.
+    /// Rates all targets that serve the request the way `choose` does, best first, without changing any state.
     [[nodiscard]] auto explain(const PlacementRequest&, const Fleet&) const -> std::vector<Explanation>;
-    /// Holders that placement uses for the adapter now.
+    /// Number of holders among which placement currently spreads the adapter's requests.
     [[nodiscard]] auto wantedHolders(const ModelName& model) const -> std::size_t;
 
 private:
-    static constexpr auto mostCandidates = std::size_t(8);
+    static constexpr auto maxCandidates = std::size_t(8);
     struct Candidate {
         Fleet::Index index = 0;
         std::uint64_t score = 0;
         Duration cost {};
     };
-    /// A bounded list on the stack: a placement allocates nothing that grows with the fleet.
+    /// Bounded and on the stack, so that a placement allocates nothing that grows with the fleet.
     struct Candidates {
-        std::array<Candidate, mostCandidates> at;
+        std::array<Candidate, maxCandidates> at;
         std::size_t count = 0;
     };
-    /// More than one holder is wanted; kept for such adapters alone.
-    struct Wanted {
+    /// Stored only for adapters that want more than one holder.
+    struct WantedHolders {
         std::size_t count = 1;
+        /// When all `count` holders were last needed.
         Moment neededAt {};
     };
 
     [[nodiscard]] auto holders(const PlacementRequest&, const Fleet&) const -> Candidates;
-    [[nodiscard]] auto newcomers(const PlacementRequest&, const Fleet&) const -> Candidates;
+    [[nodiscard]] auto loadCandidates(const PlacementRequest&, const Fleet&) const -> Candidates;
     [[nodiscard]] auto bestHolder(const PlacementRequest&, const Fleet&, Moment now) -> std::optional<Candidate>;
-    [[nodiscard]] auto busyHolder(const PlacementRequest&, const Fleet&) -> std::optional<Fleet::Index>;
-    auto updateWanted(const ModelName&, const Candidates&, Duration loadCost, Moment now) -> std::size_t;
-    auto pickOfTwo(const Candidates&, std::size_t among) -> Candidate;
-    auto next() noexcept -> std::uint64_t;
+    [[nodiscard]] auto anyHolder(const PlacementRequest&, const Fleet&) -> std::optional<Fleet::Index>;
+    auto updateWantedHolders(const ModelName&, const Candidates&, Duration loadCost, Moment now) -> std::size_t;
+    auto pickBetterOfTwo(const Candidates&, std::size_t among) -> Candidate;
+    auto nextRandom() noexcept -> std::uint64_t;
 
     std::uint64_t random_;
-    std::unordered_map<ModelName, Wanted> wanted_;
+    std::unordered_map<ModelName, WantedHolders> wantedHolders_;
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/ReplicaChoice.cpp
+++ b/packages/decisions/ReplicaChoice.cpp
@@ -8,37 +8,39 @@
 
 namespace {
 
-// From the order to the adapter's being there, by an engine's own report: from the weight store, and from the engine's
-// host memory. What a replica needs beyond is the wait for a slot.
+// Time from ordering a load until the engine reports the adapter as loaded: from the weight store, and from the
+// engine's host memory. Excludes the wait for a slot.
 constexpr auto fetchTime = Duration(300ms);
 constexpr auto warmTime = Duration(60ms);
-// Until one of a replica's slots is free for the next load when all are in use: runs of two seconds and more on seven
-// slots, some of them shared.
-constexpr auto slotTurn = Duration(400ms);
-// Each place of the batch that is taken slows all tokens a little; counted so that idle replicas come first.
-constexpr auto fullBatch = Duration(60ms);
-// Pause of a running stream while a prompt is read, on a replica of usual speed: an event holds seven or eight tokens,
-// a step makes one of each stream's, reads a thousand of the prompt's and looks back at all that were read before. With
-// the engines' own figures 27 ms a step, and 0.75 ms more for each thousand tokens.
-constexpr auto readingPause = Duration(200ms);
+// Time until one slot of a replica becomes free when all are in use: requests run for two seconds or more on seven
+// slots, some of which are shared.
+constexpr auto slotReleaseTime = Duration(400ms);
+// Cost of a full batch, charged in proportion to its fill. Each running request slows all others slightly, so idle
+// replicas are preferred.
+constexpr auto fullBatchCost = Duration(60ms);
+// Pause of a running stream while a prompt is processed, on a replica of normal speed. An event holds seven or eight
+// tokens; one step generates one token of each stream, processes a thousand prompt tokens and attends to all earlier
+// ones. By the engines' own figures a step takes 27 ms, plus 0.75 ms for each thousand earlier tokens.
+constexpr auto prefillPause = Duration(200ms);
 constexpr auto pausePerThousand = Duration(5500us);
-// What it costs to make one stream's pause too long.
-constexpr auto disturbance = Duration(60ms);
-// Until one of many runs ends.
-constexpr auto runTime = Duration(500ms);
-// A request that fails is lost, or begins anew elsewhere at best. Where all replicas fail alike it changes nothing.
+// Cost of each running stream whose pause would exceed the limit.
+constexpr auto pausedStreamCost = Duration(60ms);
+// Time until one of many running requests ends.
+constexpr auto batchReleaseTime = Duration(500ms);
+// Cost of a certain failure: a failed request is lost or, at best, starts again elsewhere. If all replicas fail at the
+// same rate, the choice does not change.
 constexpr auto failureCost = Duration(500ms);
-// How much of their age figures may be wrong by: for all entries alike, and more for the replicas that an entry favours
-// less.
+// Share of the age of a replica's values that is added to its expected start: one part that is equal for all entries,
+// and one that grows as the choosing entry prefers the replica less.
 constexpr auto ageShare = 0.1;
 constexpr auto entryShare = 0.2;
-// How much of a shared part's reading the holder that it favours most is spared: other entries sent it there before.
-constexpr auto readElsewhere = 0.6;
-// How far the favourite of an adapter's name may be behind the soonest: where the adapter is there or at hand, and
-// where it must be fetched. A fetch elsewhere costs all who wait for the store, so the favourite may be a good deal
-// later.
-constexpr auto favour = Duration(20ms);
-constexpr auto favourForFetch = Duration(300ms);
+// Probability that the holder which a shared prefix prefers most has already processed it for another entry.
+constexpr auto prefixCachedChance = 0.6;
+// How much later than the best replica the one that the adapter's name prefers most may start: if the adapter is
+// resident or in host memory, and if it must be fetched. A fetch at another replica delays all users of the weight
+// store, so the second margin is larger.
+constexpr auto preferenceMargin = Duration(20ms);
+constexpr auto preferenceMarginForFetch = Duration(300ms);
 
 auto share(double fraction, Duration whole) -> Duration
 {
@@ -51,34 +53,34 @@
         std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / rate));
 }
 
-/// From 0 for the replica that the name favours most, up to 1.
-auto disfavour(std::uint64_t name, std::string_view replica) -> double
+/// Rank of the replica for the hashed name, from 0 (most preferred) to 1.
+auto dispreference(std::uint64_t name, std::string_view replica) -> double
 {
     const auto hash = rendezvousScore(name, nameHash(replica));
     constexpr auto shift = 11U;
     return 1 - static_cast<double>(hash >> shift) / static_cast<double>(std::uint64_t(1) << (64U - shift));
 }
 
-auto pauseWhileReading(std::uint64_t tokens) -> Duration
+auto pauseDuringPrefill(std::uint64_t tokens) -> Duration
 {
     constexpr auto thousand = 1000.0;
-    return readingPause + share(static_cast<double>(tokens) / thousand, pausePerThousand);
+    return prefillPause + share(static_cast<double>(tokens) / thousand, pausePerThousand);
 }
 
-/// How likely the shared part of the prompt was never read there, when this entry did not send it.
+/// Probability that the replica has not processed the shared prefix, given that this entry did not send it there.
 auto unreadChance(const ReplicaView& replica, const PlacementQuery& need) -> double
 {
-    return replica.holds ? 1 - readElsewhere * (1 - disfavour(need.sharedId, replica.id)) : 1;
+    return replica.holds ? 1 - prefixCachedChance * (1 - dispreference(need.sharedId, replica.id)) : 1;
 }
 
-/// Until an adapter is there that is not now.
+/// Expected time until an adapter that is not resident has been loaded.
 auto loadWait(const ReplicaView& replica, const PlacementQuery& need) -> Duration
 {
     auto wait = replica.warm ? warmTime : fetchTime;
-    wait += need.waitingLoad * replica.loadsWaiting;
+    wait += need.waitingLoadCost * replica.loadsWaiting;
     if (replica.loadsWaiting >= replica.spareSlots)
-        wait += slotTurn * (replica.loadsWaiting - replica.spareSlots + (replica.loading ? 0 : 1));
-    // It was asked for some time ago.
+        wait += slotReleaseTime * (replica.loadsWaiting - replica.spareSlots + (replica.loading ? 0 : 1));
+    // The load was ordered some time ago, so on average half of the wait has passed.
     return replica.loading ? wait / 2 : wait;
 }
 
@@ -88,19 +90,19 @@
 {
     const auto load = replica.holds ? Duration(0) : loadWait(replica, need);
     const auto ahead = readTime(replica.tokensAhead + (replica.holds ? 0 : replica.tokensWaiting), need.readRate);
-    const auto full
+    const auto fill
         = static_cast<double>(replica.running) / static_cast<double>(std::max<std::size_t>(replica.batch, 1));
-    auto start = std::max(load, ahead) + share(full, fullBatch);
-    // A full batch starts nothing until a run ends.
-    if (full >= 1)
-        start += runTime;
+    auto start = std::max(load, ahead) + share(fill, fullBatchCost);
+    // A full batch starts no request until a running one ends.
+    if (fill >= 1)
+        start += batchReleaseTime;
     const auto unknown = need.sharedTokens - std::min(need.sharedTokens, replica.cachedTokens);
     if (unknown > 0)
         start += share(unreadChance(replica, need), readTime(unknown, need.readRate));
-    if (share(replica.slowness, pauseWhileReading(need.unreadTokens + need.sharedTokens)) > need.pauseLimit)
-        start += disturbance * replica.running;
+    if (share(replica.slowness, pauseDuringPrefill(need.unreadTokens + need.sharedTokens)) > need.pauseLimit)
+        start += pausedStreamCost * replica.running;
     start += share(replica.failures, failureCost);
-    start += share(ageShare + entryShare * disfavour(nameHash(need.entry), replica.id), replica.age);
+    start += share(ageShare + entryShare * dispreference(nameHash(need.entry), replica.id), replica.age);
     if (replica.zone != need.zone)
         start += need.zonePenalty;
     return share(replica.slowness, start + Duration(1ms));
@@ -108,7 +110,7 @@
 
 auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need) -> std::optional<std::size_t>
 {
-    const auto hadWithout = std::any_of(replicas.begin(), replicas.end(), [](const ReplicaView& replica) {
+    const auto availableWithoutFetch = std::any_of(replicas.begin(), replicas.end(), [](const ReplicaView& replica) {
         return replica.usable && (replica.holds || replica.loading || replica.warm);
     });
     auto best = std::optional<std::size_t>();
@@ -118,8 +120,9 @@
         if (!replica.usable || (!replica.holds && !replica.loading && !replica.canLoad))
             continue;
         const auto fetch = !replica.holds && !replica.loading && !replica.warm;
-        const auto cost = expectedStart(replica, need) + (fetch && hadWithout ? need.copyCost : Duration(0))
-            + share(disfavour(nameHash(need.adapter), replica.id), fetch ? favourForFetch : favour);
+        const auto cost = expectedStart(replica, need) + (fetch && availableWithoutFetch ? need.copyCost : Duration(0))
+            + share(
+                dispreference(nameHash(need.adapter), replica.id), fetch ? preferenceMarginForFetch : preferenceMargin);
         if (cost < bestCost) {
             best = index;
             bestCost = cost;
--- a/packages/decisions/ReplicaChoice.h
+++ b/packages/decisions/ReplicaChoice.h
@@ -12,94 +12,101 @@
 
 namespace eelgrass::decisions {
 
-/// One replica as an entry believes it to be.
+/// What an entry knows about one replica; may be outdated by `age`.
 struct ReplicaView {
     std::string_view id;
     AvailabilityZone zone;
-    /// Whether it may get new work at all.
+    /// Whether the replica may receive new work.
     bool usable = true;
-    /// Whether the request's adapter is there, or ordered.
+    /// Whether the request's adapter is resident.
     bool holds = false;
+    /// Whether a load of the request's adapter is under way.
     bool loading = false;
-    /// Whether it held the adapter not long ago: it then has the weights at hand.
+    /// Whether the replica held the adapter recently and still has its weights in host memory.
     bool warm = false;
-    /// Whether a process beside it can load what is missing.
+    /// Whether the replica has an agent that can load a missing adapter.
     bool canLoad = true;
     std::size_t running = 0;
     std::size_t batch = 1;
-    /// Prompt tokens to be read there first, with what this entry sent since the replica's last word.
+    /// Prompt tokens to be processed before this request, including those that this entry sent since the replica's last
+    /// report.
     std::uint64_t tokensAhead = 0;
-    /// Those that wait for other adapters there; ahead only of a request whose adapter must be loaded too.
+    /// Prompt tokens of requests that wait for other adapters; they delay only a request whose adapter must be loaded
+    /// too.
     std::uint64_t tokensWaiting = 0;
-    /// Slots whose adapter gives way to a new one, and adapters that wait for one already, with those that this entry
-    /// asked for since the replica's last word.
+    /// Slots that are free or hold an adapter that may be evicted.
     std::size_t spareSlots = 0;
+    /// Adapters that wait for a slot, including those that this entry requested since the replica's last report.
     std::size_t loadsWaiting = 0;
-    /// Share of the last requests that failed there.
+    /// Share of the latest requests that failed at the replica, from 0 to 1.
     double failures = 0;
-    /// How old the figures are.
+    /// Age of these values.
     Duration age { 0 };
-    /// How much of the shared parts of the prompt it has read, as far as this entry knows.
+    /// Tokens of the prompt's shared prefix that the replica has processed, as far as this entry knows.
     std::uint64_t cachedTokens = 0;
-    /// What it takes for the same work against its peers; 1 for as fast as they.
+    /// Time for the same work relative to the replica's peers; 1 means equally fast.
     double slowness = 1;
 };
 
-/// What placement needs to know of a request.
+/// The properties of a request that the choice of a replica depends on.
 struct PlacementQuery {
     std::string_view adapter;
-    /// Who chooses.
+    /// Name of the entry that chooses.
     std::string_view entry;
     AvailabilityZone zone;
+    /// Prompt tokens after the shared prefix.
     std::uint64_t unreadTokens = 0;
+    /// Prompt tokens of the shared prefix.
     std::uint64_t sharedTokens = 0;
-    /// Names those shared parts together with the adapter.
+    /// Identifies the shared prefix together with the adapter.
     std::uint64_t sharedId = 0;
-    /// Prompt tokens that a replica of usual speed reads in a millisecond.
+    /// Prompt tokens that a replica of normal speed processes per millisecond.
     double readRate = 40;
-    /// Longest pause between two events of a stream that is still on time.
+    /// Longest acceptable pause between two events of a stream.
     Duration pauseLimit = 300ms;
-    /// What a request sent to another zone costs, as a time.
+    /// Cost of sending the request to another zone.
     Duration zonePenalty = 20ms;
-    /// What each load that waits at a replica adds to the wait for one more.
-    Duration waitingLoad = 100ms;
-    /// What fetching an adapter costs the others who wait for the weight store, where it could be had without.
+    /// Delay that each load waiting at a replica adds to a further load.
+    Duration waitingLoadCost = 100ms;
+    /// Delay that fetching the adapter causes for other users of the weight store; charged if another replica holds
+    /// the adapter, loads it or has it in host memory.
     Duration copyCost = 300ms;
 };
 
-/// What the request would wait there, with the costs counted as times.
+/// Expected wait until the request's first event at the replica, including penalties expressed as durations.
 [[nodiscard]] auto expectedStart(const ReplicaView& replica, const PlacementQuery& need) -> Duration;
 
-/// The replica at which the request begins soonest; empty when none may take it.
+/// Returns the index of the replica with the lowest expected start, or no value if no replica may take the request.
 ///
-/// Load made for: skewed demand over far more adapters than slots, prompts that share long parts, and reports that are
-/// some hundred milliseconds old.
-/// Harm prevented: loads that nobody needed, the same adapter loaded at several replicas because several entries asked
-/// for it at the same moment, shared parts read anew at each replica, a popular adapter bound to one full replica.
+/// Expected load: skewed demand over far more adapters than slots, prompts that share long prefixes, and reports that
+/// are a few hundred milliseconds old.
+/// Prevents: unnecessary loads, the same adapter loaded at several replicas because several entries requested it at the
+/// same moment, shared prefixes processed anew at each replica, and a popular adapter confined to one full replica.
 ///
-/// Where every slot is in use, a load waits for the runs on one of them to end, and behind the loads that wait there
-/// already. Counted as one slot's time whatever the queue, ten adapters waited at one replica for slots that stood
-/// empty at another.
+/// If all slots are in use, a load waits until the requests on one of them end, and behind the loads that already wait
+/// at the replica. When this wait was counted as one slot's time regardless of the queue, ten adapters waited at one
+/// replica while slots were free at another.
 ///
-/// The weight store gives all replicas together a few loads at a time, so a load waits for those before it though slots
-/// are free, and most of all after a loss of power.
+/// The weight store serves all replicas together only a few loads at a time. A load therefore waits for earlier ones
+/// even if slots are free, above all after a power loss.
 ///
-/// What is fetched a second time, while one replica holds it, loads it or has it at hand, takes the store from adapters
-/// that are nowhere. It counts as the time that it takes others.
+/// Fetching an adapter that another replica holds, loads or has in host memory delays fetches of adapters that no
+/// replica has. This delay is charged as `copyCost`.
 ///
-/// A prompt that is so long, or a replica so slow, that running streams pause for too long while it is read, goes where
-/// few of them run.
+/// If a prompt is so long, or a replica so slow, that running streams would pause for too long while the prompt is
+/// processed, a replica with few running streams is preferred.
 ///
-/// The older a replica's figures are, the more requests other entries sent there unseen: such a replica counts as
-/// later, and each entry prefers others among those that look alike. Without it all entries chose the same idle holder
-/// in the time between two of its reports, and work waited there while engines read a third of the time.
+/// The older the values of a replica are, the more requests other entries may have sent to it since. Its expected start
+/// therefore grows with their age, by an amount that differs between entries. Without this, all entries chose the same
+/// idle holder between two of its reports, and requests waited there while engines were processing prompts for only a
+/// third of the time.
 ///
-/// Among several holders of an adapter each shared part of a prompt has a favourite too. An entry knows only what it
-/// sent itself; with many entries the same parts were read anew at every holder.
+/// Among several holders of an adapter, each shared prefix has a preferred one. An entry only knows which prefixes it
+/// sent itself; without the preference, many entries caused the same prefixes to be processed at every holder.
 ///
-/// An adapter that nobody holds goes to the replica that its name favours, unless that one is much later than others.
-/// Entries that do not know of each other then ask the same one, and an adapter that comes back finds its weights still
-/// at hand there.
+/// An adapter that no replica holds goes to the replica that its name prefers, unless that one starts much later than
+/// others. Entries that do not know of each other then choose the same replica, and an adapter that is loaded again
+/// finds its weights still in that replica's host memory.
 [[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need)
     -> std::optional<std::size_t>;
 
--- a/packages/decisions/TargetView.h
+++ b/packages/decisions/TargetView.h
@@ -9,27 +9,28 @@
 
 namespace eelgrass::decisions {
 
-/// What a target tells of itself, with its answers and on changes.
+/// State that a target reports with its answers and on changes.
 struct TargetReport {
     bool leaving = false;
     std::size_t queued = 0;
     std::size_t running = 0;
     std::size_t batchLimit = 1;
     std::size_t slots = 0;
-    /// Of those queued, the ones that wait for a load, and the adapters that they wait for.
+    /// Queued requests that wait for a load.
     std::size_t awaitingLoad = 0;
+    /// Adapters that queued requests wait for.
     std::size_t loadsWaiting = 0;
-    /// Demand for the adapter that the next load would push out.
+    /// Demand for the adapter that the next load would evict.
     double evictionCost = 0;
-    /// Mean time between two places of the batch becoming free, when it is full.
+    /// Mean interval at which places of the batch become free when it is full.
     Duration placeTime = 250ms;
     std::vector<ModelName> resident;
 };
 
-/// What an entry believes of a target. It is late by the age of the last report, so it serves as a hint only.
+/// An entry's view of a target. It is as old as the target's last report, so it is only a hint.
 struct TargetView {
-    /// An adapter that is not there yet, for which this entry sent a request.
-    struct Coming {
+    /// An adapter that the target does not hold yet, but will load for a request that this entry sent.
+    struct PendingLoad {
         ModelName model;
         Moment since {};
     };
@@ -49,11 +50,11 @@
     double evictionCost = 0;
     Duration placeTime = 250ms;
     std::vector<ModelName> resident;
-    std::vector<Coming> coming;
-    /// Requests this entry sent since the last report.
+    std::vector<PendingLoad> pendingLoads;
+    /// Requests that this entry sent since the last report.
     std::size_t sentSinceReport = 0;
     Moment reportedAt {};
-    /// Time to first token against the target's peers; 1 for as fast as they.
+    /// Time to first token relative to the target's peers; 1 means equally fast.
     double slowness = 1;
 };
 
--- a/tests/unit/Placer.cpp
+++ b/tests/unit/Placer.cpp
@@ -27,7 +27,7 @@
     return { .running = running, .batchLimit = 8, .slots = 4, .resident = { ModelName(model) } };
 }
 
-/// Places one request and counts it as sent.
+/// Chooses a target for one request and records the request as sent.
 auto place(Placer& placer, Fleet& fleet, const char* model, Moment now) -> TargetId
 {
     const auto chosen = placer.choose(request(model), fleet, now).value();
@@ -37,8 +37,8 @@
 
 } // namespace
 
-// An adapter that nobody asked for yesterday is wanted by many callers of many entries at once.
-// Each entry knows only its own requests. All must come to one target, where one load serves them.
+// Guards against loading an adapter at several targets when its first requests arrive at several entries at once.
+// Each entry knows only its own requests; all must choose the same target, where one load serves them all.
 BOOST_AUTO_TEST_CASE(a_burst_for_a_new_adapter_loads_it_once)
 {
     auto chosen = std::set<TargetId>();
@@ -51,10 +51,10 @@
     BOOST_TEST(chosen.size() == 1);
 }
 
-// A caller is refused for want of a target, although one that holds its adapter would take it.
-// The wait at the only target exceeds the price of a load, so another holder is wanted; but every target that serves
-// the base model holds the adapter already. The request must go to a holder, however long it waits there.
-BOOST_AUTO_TEST_CASE(a_request_goes_to_a_busy_holder_when_nobody_else_could_load)
+// Guards against refusing a request although a target that holds its adapter could take it. The wait at the only target
+// exceeds the cost of a load, so another holder is wanted, but every target that serves the base model already holds
+// the adapter. The request must go to a holder, however long it waits there.
+BOOST_AUTO_TEST_CASE(a_request_goes_to_a_busy_holder_when_no_target_can_load)
 {
     auto fleet = fleetOf(1);
     auto placer = Placer(1);
@@ -65,9 +65,9 @@
         BOOST_TEST(place(placer, fleet, "hot", at(call)).str() == "t0");
 }
 
-// A whole member asks for one adapter, more than its target can run. The wait there exceeds the price of a load, so a
-// second holder comes; and when the demand is over, callers use one holder again and the other fades.
-BOOST_AUTO_TEST_CASE(holders_grow_with_the_demand_and_shrink_after_it)
+// All users of one member request the same adapter, more than its target can run. The wait there exceeds the cost of a
+// load, so a second holder is added. After the demand has ended, requests use a single holder again.
+BOOST_AUTO_TEST_CASE(holders_grow_and_shrink_with_the_demand)
 {
     auto fleet = fleetOf(9);
     auto placer = Placer(1);
@@ -90,8 +90,8 @@
     BOOST_TEST(used.size() == 1);
 }
 
-// Reports are late. A target that looked idle must not get every request until its next report.
-BOOST_AUTO_TEST_CASE(what_was_sent_since_the_report_counts_as_load)
+// Reports are delayed. A target that was idle at its last report must not receive every request until the next one.
+BOOST_AUTO_TEST_CASE(requests_sent_since_the_report_count_as_load)
 {
     auto fleet = fleetOf(2);
     auto placer = Placer(1);
@@ -106,9 +106,9 @@
         BOOST_TEST(count > 10);
 }
 
-// One target answers five times as slowly as its peers. Callers wait there for nothing, so the adapter gets a holder
-// elsewhere, and the slow one keeps nothing but what nobody else can take.
-BOOST_AUTO_TEST_CASE(a_slow_target_loses_its_share)
+// One target answers five times as slowly as its peers. The adapter is loaded at another target, and the slow one
+// receives fewer than half of the requests.
+BOOST_AUTO_TEST_CASE(a_slow_target_receives_fewer_requests)
 {
     auto fleet = fleetOf(3);
     auto placer = Placer(1);
@@ -120,8 +120,8 @@
     BOOST_TEST(there < 10);
 }
 
-// A target that refused the request, that is leaving or not reachable is never chosen, however well it fits.
-BOOST_AUTO_TEST_CASE(targets_that_may_not_take_the_request_are_passed_over)
+// A target that refused the request, is leaving or is not reachable is never chosen, even if it holds the adapter.
+BOOST_AUTO_TEST_CASE(ineligible_targets_are_not_chosen)
 {
     auto fleet = fleetOf(4);
     auto placer = Placer(1);
@@ -139,8 +139,8 @@
     BOOST_TEST(!placer.choose(asked, fleet, at(1)).has_value());
 }
 
-// A target leaves the list while others hold the same adapter; what is known of the others must stay theirs.
-BOOST_AUTO_TEST_CASE(removing_a_target_keeps_the_index_of_the_others)
+// Removing a target moves the last one to its index. The state of the remaining targets must follow them.
+BOOST_AUTO_TEST_CASE(removing_a_target_keeps_the_others_indexed)
 {
     auto fleet = fleetOf(4);
     auto placer = Placer(1);
--- a/tests/unit/ReplicaChoice.cpp
+++ b/tests/unit/ReplicaChoice.cpp
@@ -30,12 +30,12 @@
     auto views = std::vector { replica("one"), replica("two") };
     views[1].holds = true;
     BOOST_TEST(chooseReplica(views, need()).value() == 1U);
-    // A holder that is a second behind is worth a load elsewhere.
+    // With more than a second of work ahead of the request at the holder, loading at the other replica is faster.
     views[1].tokensAhead = 60000;
     BOOST_TEST(chooseReplica(views, need()).value() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(the_holder_that_has_read_the_prompt_is_chosen)
+BOOST_AUTO_TEST_CASE(the_holder_with_the_cached_prefix_is_chosen)
 {
     auto views = std::vector { replica("one"), replica("two") };
     views[0].holds = views[1].holds = true;
@@ -43,7 +43,7 @@
     BOOST_TEST(chooseReplica(views, need()).value() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_goes_where_nothing_may_go)
+BOOST_AUTO_TEST_CASE(unusable_replicas_are_not_chosen)
 {
     auto views = std::vector { replica("one") };
     views[0].usable = false;
@@ -53,8 +53,9 @@
     BOOST_TEST(!chooseReplica(views, need()).has_value());
 }
 
-// Two entries see the same and do not know of each other: they ask the same replica for an adapter that nobody holds.
-BOOST_AUTO_TEST_CASE(entries_agree_where_an_adapter_is_loaded)
+// Two entries with the same view choose the same replica for an adapter that no replica holds, whatever the order of
+// the views.
+BOOST_AUTO_TEST_CASE(entries_choose_the_same_replica_for_a_load)
 {
     auto views = std::vector { replica("one"), replica("two"), replica("three") };
     const auto first = chooseReplica(views, need());
@@ -63,9 +64,9 @@
     BOOST_TEST(first.value() == 2 - second.value());
 }
 
-// Demand by Zipf's law over 3,000 adapters, nine replicas of seven slots with 42 adapters at hand each. Loads from the
-// store are counted; choosing the least loaded replica, the baseline, fetches several times as many.
-BOOST_AUTO_TEST_CASE(adapters_return_to_where_they_are_at_hand)
+// Zipf-distributed demand over 3,000 adapters on nine replicas, each with seven slots and 42 adapters in host memory.
+// Counts the fetches from the weight store; the baseline chooses replicas at random and needs more than twice as many.
+BOOST_AUTO_TEST_CASE(adapters_are_reloaded_where_they_are_in_host_memory)
 {
     constexpr auto replicas = std::size_t(9);
     constexpr auto slots = std::size_t(7);
@@ -112,9 +113,9 @@
     BOOST_TEST_MESSAGE("fetches: " << chosen << " against " << baseline);
 }
 
-// Every slot is in use everywhere. Ten adapters wait at one replica and one at the other: whatever the adapter's name
-// favours, the request goes where it waits for one run to end and not for ten.
-BOOST_AUTO_TEST_CASE(loads_do_not_pile_up_behind_one_replicas_slots)
+// Guards against loads queued behind the slots of one replica. All slots are in use; ten adapters wait at one replica
+// and one at the other. Whichever replica the adapter's name prefers, the one with the shorter queue is chosen.
+BOOST_AUTO_TEST_CASE(loads_do_not_queue_behind_the_slots_of_one_replica)
 {
     auto views = std::vector { replica("one"), replica("two") };
     views[0].spareSlots = views[1].spareSlots = 0;
@@ -128,10 +129,10 @@
     }
 }
 
-// A report of 9,000 tokens, a third of the replicas a third slower than the others, ten streams on each. On a slow one
-// the streams would pause for more than 300 ms while it is read; on a fast one they do not, so it goes there, although
-// the slow one is free and the fast one has some work ahead. A question of 800 tokens disturbs nobody.
-BOOST_AUTO_TEST_CASE(long_prompts_keep_off_slow_replicas_where_streams_run)
+// A prompt of 9,000 tokens, and ten running streams on each of two replicas, one of which is a third slower. On the
+// slow replica the streams would pause for more than 300 ms, so the fast one is chosen although it has work ahead. A
+// prompt of 800 tokens causes no such pause and goes to the slow replica, which is free.
+BOOST_AUTO_TEST_CASE(long_prompts_avoid_slow_replicas_with_running_streams)
 {
     auto views = std::vector { replica("fast"), replica("slow") };
     for (auto& view : views) {
@@ -148,10 +149,10 @@
     BOOST_TEST(chooseReplica(views, wanted).value() == 1U);
 }
 
-// Twenty entries, ten holders of a popular adapter, 117 different shared parts. Each entry knows only what it sent
-// itself. With a favourite for each part among the holders, a part is read at three or four of them and not at six and
-// more.
-BOOST_AUTO_TEST_CASE(entries_send_a_shared_part_to_the_same_holder)
+// Guards against processing the same shared prefix at every holder. Twenty entries, ten holders of a popular adapter,
+// 117 different prefixes; each entry knows only what it sent itself. With a preferred holder for each prefix, a prefix
+// is processed at three or four holders instead of six or more.
+BOOST_AUTO_TEST_CASE(entries_send_a_shared_prefix_to_the_same_holders)
 {
     constexpr auto entries = 20;
     constexpr auto holders = 10;
@@ -188,9 +189,9 @@
     BOOST_TEST(chosen * 3 < baseline * 2);
 }
 
-// Ten holders whose last word is 700 ms old; one of them looked a little less busy then. Twenty entries that choose
-// now must not all choose that one.
-BOOST_AUTO_TEST_CASE(entries_do_not_herd_on_what_looked_idle_a_while_ago)
+// Guards against all entries choosing the same replica between two of its reports. The reports of ten holders are
+// 700 ms old, and one holder was slightly less busy; at most half of twenty entries may choose it.
+BOOST_AUTO_TEST_CASE(entries_do_not_all_choose_a_replica_by_an_outdated_report)
 {
     auto names = std::vector<std::string>();
     for (auto index = 0; index < 10; ++index)
@@ -217,22 +218,22 @@
 
 namespace {
 
-/// Eighteen empty replicas of fourteen slots beside one weight store, as after a loss of power.
-class ColdFleet {
+/// Simulates eighteen empty replicas of fourteen slots that share one weight store, as after a power loss.
+class EmptyFleet {
 public:
     struct Outcome {
         int onTime = 0;
         int fetches = 0;
     };
 
-    explicit ColdFleet(PlacementQuery need)
+    explicit EmptyFleet(PlacementQuery need)
         : need_(need)
     {
     }
 
-    /// Plays two seconds of demand spread by Zipf's law over 3,000 adapters, a request every 2 ms. What replicas hold
-    /// and load is told every 100 ms.
-    auto play(std::uint32_t seed) -> Outcome
+    /// Simulates two seconds of Zipf-distributed demand over 3,000 adapters, with one request every 2 ms. Replicas
+    /// report what they hold and load every 100 ms.
+    auto run(std::uint32_t seed) -> Outcome
     {
         auto random = std::mt19937(seed);
         auto weights = std::vector<double>();
@@ -240,10 +241,10 @@
             weights.push_back(1.0 / rank);
         auto pick = std::discrete_distribution<int>(weights.begin(), weights.end());
         for (auto now = 0; now < 2000; now += step) {
-            if (now % told == 0)
+            if (now % reportInterval == 0)
                 seen_ = hosts_;
-            for (auto count = 0; count < step / every; ++count)
-                ask("a" + std::to_string(pick(random)), now);
+            for (auto count = 0; count < step / requestInterval; ++count)
+                placeRequest("a" + std::to_string(pick(random)), now);
             fetch(now);
         }
         for (auto now = 2000; now < 4000; now += step)
@@ -253,10 +254,10 @@
 
 private:
     static constexpr auto step = 4;
-    static constexpr auto every = 2;
-    static constexpr auto told = 100;
-    static constexpr auto aim = 600;
-    static constexpr auto atFullSpeed = 24.0;
+    static constexpr auto requestInterval = 2;
+    static constexpr auto reportInterval = 100;
+    static constexpr auto firstEventLimit = 600;
+    static constexpr auto loadsAtFullSpeed = 24.0;
     struct Load {
         std::string adapter;
         double left = 250;
@@ -265,11 +266,11 @@
     struct Host {
         std::string id;
         std::set<std::string> held;
-        /// The first is on its way.
+        /// The first load is in progress, the others wait.
         std::list<Load> loads;
     };
 
-    auto ask(const std::string& adapter, int now) -> void
+    auto placeRequest(const std::string& adapter, int now) -> void
     {
         auto views = std::vector<ReplicaView>();
         for (const auto& host : seen_) {
@@ -303,11 +304,11 @@
             if (host.loads.empty())
                 continue;
             auto& load = host.loads.front();
-            load.left -= step * std::min(1.0, atFullSpeed / busy);
+            load.left -= step * std::min(1.0, loadsAtFullSpeed / busy);
             if (load.left > 0)
                 continue;
-            outcome_.onTime += static_cast<int>(
-                std::count_if(load.askedAt.begin(), load.askedAt.end(), [&](int asked) { return now - asked <= aim; }));
+            outcome_.onTime += static_cast<int>(std::count_if(
+                load.askedAt.begin(), load.askedAt.end(), [&](int asked) { return now - asked <= firstEventLimit; }));
             host.held.insert(load.adapter);
             host.loads.pop_front();
         }
@@ -327,15 +328,15 @@
     Outcome outcome_;
 };
 
-auto coldStart(Duration waitingLoad, Duration copyCost) -> ColdFleet::Outcome
+auto runEmptyFleet(Duration waitingLoadCost, Duration copyCost) -> EmptyFleet::Outcome
 {
-    auto sum = ColdFleet::Outcome();
+    auto sum = EmptyFleet::Outcome();
     for (auto seed = 1U; seed <= 5; ++seed) {
-        auto wish = need();
-        wish.sharedTokens = 0;
-        wish.waitingLoad = waitingLoad;
-        wish.copyCost = copyCost;
-        const auto one = ColdFleet(wish).play(seed);
+        auto query = need();
+        query.sharedTokens = 0;
+        query.waitingLoadCost = waitingLoadCost;
+        query.copyCost = copyCost;
+        const auto one = EmptyFleet(query).run(seed);
         sum.onTime += one.onTime;
         sum.fetches += one.fetches;
     }
@@ -344,36 +345,36 @@
 
 } // namespace
 
-// A caller waits a second for its adapter while other replicas load nothing.
-// 1. Every replica is empty after a loss of power, so all have slots free. 2. Twelve loads wait at the one that the
-// adapter's name favours. 3. Free slots alone made it look as good as any.
-BOOST_AUTO_TEST_CASE(loads_that_wait_count_though_slots_are_free)
+// Guards against a request that waits a second for its adapter while other replicas load nothing. After a power loss
+// every replica has free slots. Twelve loads wait at the replica that the adapter's name prefers; when only free slots
+// counted, this replica was chosen like any other.
+BOOST_AUTO_TEST_CASE(waiting_loads_count_although_slots_are_free)
 {
     for (const auto* adapter : { "a1", "a2", "a3", "a4", "a5" }) {
         auto views = std::vector { replica("one"), replica("two"), replica("three") };
         for (auto& view : views)
             view.spareSlots = 14;
-        auto wish = need();
-        wish.adapter = adapter;
-        const auto favourite = chooseReplica(views, wish).value();
+        auto query = need();
+        query.adapter = adapter;
+        const auto favourite = chooseReplica(views, query).value();
         views[favourite].loadsWaiting = 12;
-        BOOST_TEST(chooseReplica(views, wish).value() != favourite);
-        wish.waitingLoad = Duration(0);
-        BOOST_TEST(chooseReplica(views, wish).value() == favourite);
+        BOOST_TEST(chooseReplica(views, query).value() != favourite);
+        query.waitingLoadCost = Duration(0);
+        BOOST_TEST(chooseReplica(views, query).value() == favourite);
     }
 }
 
-// The same seconds. An adapter that one replica is about to have is not fetched to a second one while others are
-// nowhere.
-BOOST_AUTO_TEST_CASE(a_cold_fleet_fetches_few_adapters_twice)
+// After a power loss, an adapter that one replica is loading should not be fetched to a second replica while other
+// adapters are loaded nowhere.
+BOOST_AUTO_TEST_CASE(an_empty_fleet_fetches_few_adapters_twice)
 {
-    const auto dear = coldStart(need().waitingLoad, need().copyCost);
-    const auto cheap = coldStart(need().waitingLoad, Duration(0));
-    BOOST_TEST_MESSAGE("fetches " << dear.fetches << " and " << cheap.fetches);
-    BOOST_TEST(dear.fetches < cheap.fetches);
+    const auto withCopyCost = runEmptyFleet(need().waitingLoadCost, need().copyCost);
+    const auto withoutCopyCost = runEmptyFleet(need().waitingLoadCost, Duration(0));
+    BOOST_TEST_MESSAGE("fetches " << withCopyCost.fetches << " and " << withoutCopyCost.fetches);
+    BOOST_TEST(withCopyCost.fetches < withoutCopyCost.fetches);
 }
 
-// A holder that is a little behind is waited for; one that is far behind is worth a copy.
+// A request waits for a holder with little work ahead; a holder with much work ahead justifies loading a copy.
 BOOST_AUTO_TEST_CASE(a_copy_is_made_when_the_holder_is_far_behind)
 {
     auto views = std::vector { replica("one"), replica("two") };
