--- a/packages/decisions/AdapterSlots.cpp
+++ b/packages/decisions/AdapterSlots.cpp
@@ -7,49 +7,51 @@
 
 namespace {
 
-constexpr auto demandLimit = std::size_t(512);
+constexpr auto maxTrackedAdapters = std::size_t(512);
 
 } // namespace
 
 AdapterSlots::AdapterSlots(std::size_t count, SlotPolicy policy)
     : count_(count)
     , policy_(policy)
-    , demand_(policy.demandHalfLife, demandLimit)
+    , demand_(policy.demandHalfLife, maxTrackedAdapters)
 {
 }
 
-auto AdapterSlots::request(const ModelName& model, Moment now, const MemberId& member, const Keep& keep) const
+auto AdapterSlots::request(const ModelName& model, Moment now, const MemberId& member, const MustKeep& mustKeep) const
     -> SlotDecision
 {
     const auto found = slots_.find(model);
     if (found != slots_.end()) {
         if (found->second.state == State::Ready)
             return UseNow {};
-        // An unload under way is waited for: a load sent beside it could be overtaken, and the request would run on
-        // nothing.
+        // Waits for an unload under way: the unload could overtake a load sent at the same time, and the request would
+        // find no weights.
         return AwaitTransition {};
     }
     if (slots_.size() < count_)
         return LoadNow {};
     for (const auto& [name, slot] : slots_) {
-        // One slot that is being emptied is enough for one request; a second eviction would waste a load.
+        // One slot that is being emptied is enough for one request; another eviction would waste a load.
         if (slot.state == State::Unloading)
             return AwaitTransition {};
     }
-    const auto chosen = victim(now, member, keep);
+    const auto chosen = victim(now, member, mustKeep);
     if (chosen)
         return EvictFirst { *chosen };
     return NoSlot {};
 }
 
-auto AdapterSlots::victim(Moment now, const MemberId& member, const Keep& keep) const -> std::optional<ModelName>
+auto AdapterSlots::victim(Moment now, const MemberId& member, const MustKeep& mustKeep) const
+    -> std::optional<ModelName>
 {
-    // A member that holds half of the slots makes room among its own adapters, so that its sudden popularity leaves the
-    // others the other half.
-    const auto onlyOwn = policy_.rule == EvictionRule::LeastDemand && !member.empty() && 2 * heldBy(member) >= count_;
+    // A member that holds half of the slots may evict only its own adapters, so that a surge of its requests leaves the
+    // other half of the slots to the other members.
+    const auto onlyOwn
+        = policy_.rule == EvictionRule::LeastDemand && !member.empty() && 2 * slotsHeldBy(member) >= count_;
     auto best = slots_.end();
     for (auto slot = slots_.begin(); slot != slots_.end(); ++slot) {
-        if (!mayGiveWay(slot->second, now, member, onlyOwn) || (keep && keep(slot->first)))
+        if (!mayEvict(slot->second, now, member, onlyOwn) || (mustKeep && mustKeep(slot->first)))
             continue;
         if (best == slots_.end() || value(slot->first, slot->second, now) < value(best->first, best->second, now))
             best = slot;
@@ -57,9 +59,9 @@
     return best == slots_.end() ? std::nullopt : std::optional(best->first);
 }
 
-auto AdapterSlots::mayGiveWay(const Slot& slot, Moment now, const MemberId& member, bool onlyOwn) const -> bool
+auto AdapterSlots::mayEvict(const Slot& slot, Moment now, const MemberId& member, bool onlyOwn) const -> bool
 {
-    // An adapter that a running request uses is never chosen: its answer would come from other weights.
+    // An adapter that a running request uses is never evicted, or the answer would be generated with other weights.
     if (slot.state != State::Ready || slot.pins > 0)
         return false;
     if (policy_.rule == EvictionRule::LeastRecentlyUsed)
@@ -76,7 +78,7 @@
     return demand_.of(model, now);
 }
 
-auto AdapterSlots::heldBy(const MemberId& member) const -> std::size_t
+auto AdapterSlots::slotsHeldBy(const MemberId& member) const -> std::size_t
 {
     return static_cast<std::size_t>(
         std::count_if(slots_.begin(), slots_.end(), [&](const auto& slot) { return slot.second.member == member; }));
--- a/packages/decisions/AdapterSlots.h
+++ b/packages/decisions/AdapterSlots.h
@@ -14,42 +14,45 @@
 
 namespace eelgrass::decisions {
 
-/// The adapter may be used now; pin it before the request is sent.
+/// The adapter is ready; pin it before sending the request.
 struct UseNow { };
-/// A load or an unload of the adapter is under way; ask again when it ends.
+/// A load or an unload that the request depends on is under way; call `request` again when it ends.
 struct AwaitTransition { };
 /// Load the adapter into a free slot.
 struct LoadNow { };
-/// Unload `victim`; then ask again.
+/// Unload `victim`, then call `request` again.
 struct EvictFirst {
     ModelName victim;
 };
-/// Every slot is pinned or busy; ask again when one is released.
+/// No adapter may be evicted now; call `request` again when one is released.
 struct NoSlot { };
 using SlotDecision = std::variant<UseNow, AwaitTransition, LoadNow, EvictFirst, NoSlot>;
 
-/// Which unpinned adapter gives way.
+/// Selects which unpinned adapter is evicted.
 enum class EvictionRule {
-    /// The baseline that the measurements compare with.
+    /// Baseline for measurements.
     LeastRecentlyUsed,
-    /// The one with the least recent demand; every reload costs the same, so demand alone tells the values apart.
+    /// Evicts the adapter with the lowest recent demand. Every reload costs the same, so demand alone determines the
+    /// value of keeping an adapter.
     LeastDemand,
 };
 
-/// How long the past counts.
+/// Parameters of the eviction.
 struct SlotPolicy {
     EvictionRule rule = EvictionRule::LeastDemand;
-    /// Long enough to tell an adapter that is asked for every half minute from one that is asked for once.
+    /// Long enough to distinguish an adapter requested every half minute from one requested once.
     Duration demandHalfLife = 120s;
-    /// A load that nobody used yet is kept for its requests, which may be on their way; after this they will not come.
+    /// A loaded adapter that was not used yet is not evicted for this long, since its requests may still be on their
+    /// way. Requests that have not arrived by then are not expected.
     Duration unusedStay = 5s;
 };
 
-/// The adapter slots of one engine, as their sole owner knows them.
+/// The adapter slots of one engine. The engine's slots have a single owner, which keeps this state.
 ///
-/// Load made for: skewed demand over far more adapters than slots, and a member whose adapters are all wanted at once.
-/// Harm prevented: popular adapters pushed out by a run of rare ones, adapters evicted before they were used, one
-/// member holding every slot.
+/// Expected load: skewed demand over far more adapters than slots, and a member whose adapters are all requested at
+/// once.
+/// Prevents: popular adapters evicted by a series of rare ones, adapters evicted before their first use, and one member
+/// holding all slots.
 ///
 /// ```cpp
 /// auto answer = slots.request(model, now);
@@ -60,8 +63,9 @@
 public:
     enum class State { Loading, Ready, Unloading };
 
-    /// Adapters that must stay though nothing runs on them, as when requests wait for a place with them.
-    using Keep = std::function<bool(const ModelName&)>;
+    /// Whether an unpinned adapter must not be evicted, for example because queued requests wait for a place in the
+    /// batch with it.
+    using MustKeep = std::function<bool(const ModelName&)>;
 
     explicit AdapterSlots(std::size_t count, EvictionRule rule = EvictionRule::LeastDemand)
         : AdapterSlots(count, SlotPolicy { .rule = rule })
@@ -69,23 +73,24 @@
     }
     AdapterSlots(std::size_t count, SlotPolicy policy);
 
-    /// What to do so that a request for `model` can run. Changes nothing.
-    [[nodiscard]] auto request(
-        const ModelName& model, Moment now, const MemberId& member = {}, const Keep& keep = {}) const -> SlotDecision;
-    /// Counts one request for `model` in its demand; once a request, when it is accepted.
+    /// Returns what to do next so that a request for `model` can run, without changing any state.
+    [[nodiscard]] auto request(const ModelName& model, Moment now, const MemberId& member = {},
+        const MustKeep& mustKeep = {}) const -> SlotDecision;
+    /// Adds one request to the demand for `model`; to be called once for each accepted request.
     auto asked(const ModelName& model, Moment now) -> void { demand_.add(model, now); }
-    /// Demand for the adapter that the next load would push out; 0 for a free slot, infinite if none can give way.
+    /// Demand for the adapter that the next load would evict; 0 if a slot is free, infinite if none may be evicted.
     [[nodiscard]] auto evictionCost(Moment now) const -> double;
 
     auto pin(const ModelName& model, Moment now) -> void;
     auto unpin(const ModelName& model) -> void;
 
-    /// `member` is the one whose request asked for the load.
+    /// `member` is the member whose request caused the load.
     auto loadStarted(const ModelName& model, Moment now, const MemberId& member = {}) -> void;
     auto loadEnded(const ModelName& model, bool loaded, Moment now) -> void;
     auto unloadStarted(const ModelName& model) -> void;
     auto unloadEnded(const ModelName& model, bool unloaded) -> void;
-    /// Takes the engine's own list as the truth, as after a lost answer or an engine's restart.
+    /// Replaces the state by the engine's own list of loaded adapters, for example after a lost answer or a restart of
+    /// the engine.
     auto reset(const std::vector<ModelName>& loaded, Moment now) -> void;
 
     [[nodiscard]] auto resident() const -> std::set<ModelName>;
@@ -100,14 +105,15 @@
         std::size_t pins = 0;
         Moment usedAt {};
         Moment loadedAt {};
-        /// Whether a request was pinned since the load.
+        /// Whether a request has pinned the adapter since the load.
         bool used = false;
         MemberId member;
     };
-    [[nodiscard]] auto victim(Moment now, const MemberId& member, const Keep& keep) const -> std::optional<ModelName>;
-    [[nodiscard]] auto mayGiveWay(const Slot&, Moment now, const MemberId& member, bool onlyOwn) const -> bool;
+    [[nodiscard]] auto victim(Moment now, const MemberId& member, const MustKeep& mustKeep) const
+        -> std::optional<ModelName>;
+    [[nodiscard]] auto mayEvict(const Slot&, Moment now, const MemberId& member, bool onlyOwn) const -> bool;
     [[nodiscard]] auto value(const ModelName&, const Slot&, Moment now) const -> double;
-    [[nodiscard]] auto heldBy(const MemberId&) const -> std::size_t;
+    [[nodiscard]] auto slotsHeldBy(const MemberId&) const -> std::size_t;
 
     std::size_t count_;
     SlotPolicy policy_;
--- a/packages/decisions/AdmissionQueue.cpp
+++ b/packages/decisions/AdmissionQueue.cpp
@@ -8,16 +8,18 @@
 
 namespace {
 
-// Prompt work granted ahead of the engine: some steps more than a grant takes to travel, so that it never runs dry.
-constexpr auto readAhead = Duration(250ms);
-// The rest is for output that runs longer than announced and for parts of prompts worth keeping.
+// Prompt processing granted in advance: a few engine steps longer than a grant takes to arrive, so that the engine is
+// never idle.
+constexpr auto maxOutstandingPrefill = Duration(250ms);
+// The remaining memory is for answers longer than announced and for prompt prefixes worth caching.
 constexpr auto memoryShare = 0.9;
-// How long the past counts in what more urgent requests take.
+// Half-life of the arrival rate of more urgent requests.
 constexpr auto inflowHalfLife = Duration(2s);
-// However much more urgent work comes, a request that waits is not given up on the guess that it would get nothing.
-constexpr auto leastShare = 0.25;
-// Nobody asks to come back sooner than a grant takes to travel.
-constexpr auto shortestRetry = Duration(50ms);
+// Smallest share of the engine assumed for a waiting request, so that no amount of more urgent work makes the estimate
+// infinite and the request is not refused on a guess.
+constexpr auto minShare = 0.25;
+// Shortest retry delay of a refusal: the time that a grant takes to arrive.
+constexpr auto minRetry = Duration(50ms);
 
 auto memoryOf(const AdmissionRequest& request) -> TokenCount { return request.promptTokens + request.outputTokens; }
 
@@ -30,7 +32,7 @@
     limits_ = limits;
 }
 
-auto AdmissionQueue::readTime(TokenCount tokens) const -> Duration
+auto AdmissionQueue::prefillTime(TokenCount tokens) const -> Duration
 {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / rate_.perMillisecond()));
@@ -38,7 +40,7 @@
 
 auto AdmissionQueue::tokensAhead(const Ready& ready) const -> TokenCount
 {
-    auto tokens = unstarted_;
+    auto tokens = unstartedTokens_;
     for (const auto& request : waiting_)
         tokens += ready(request.adapter) ? request.unreadTokens : 0;
     return tokens;
@@ -52,7 +54,7 @@
     return tokens;
 }
 
-auto AdmissionQueue::readTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration
+auto AdmissionQueue::prefillTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration
 {
     auto urgent = 0.0;
     for (const auto& [other, inflow] : inflow_) {
@@ -60,14 +62,14 @@
         if (other < priority)
             urgent += inflow.rate * std::exp2(-age);
     }
-    const auto share = std::max(leastShare, 1 - urgent / rate_.perMillisecond());
+    const auto share = std::max(minShare, 1 - urgent / rate_.perMillisecond());
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / (rate_.perMillisecond() * share)));
 }
 
-auto AdmissionQueue::noteInflow(const AdmissionRequest& request, Moment now) -> void
+auto AdmissionQueue::recordInflow(const AdmissionRequest& request, Moment now) -> void
 {
-    // A steady flow of r tokens a millisecond converges to r.
+    // Normalized so that a steady flow of r tokens per millisecond converges to r.
     const auto lifetime = std::chrono::duration<double, std::milli>(inflowHalfLife).count() / std::log(2);
     auto& inflow = inflow_[request.priority];
     const auto age = static_cast<double>((now - inflow.at).count()) / static_cast<double>(inflowHalfLife.count());
@@ -77,15 +79,15 @@
 
 auto AdmissionQueue::onTime(const AdmissionRequest& request, Moment now) const -> bool
 {
-    return now + readTime(unstarted_ + request.unreadTokens) <= request.firstEventDeadline;
+    return now + prefillTime(unstartedTokens_ + request.unreadTokens) <= request.firstEventDeadline;
 }
 
-auto AdmissionQueue::startBy(const AdmissionRequest& request) const -> Moment
+auto AdmissionQueue::latestStart(const AdmissionRequest& request) const -> Moment
 {
-    return request.firstEventDeadline - readTime(request.unreadTokens);
+    return request.firstEventDeadline - prefillTime(request.unreadTokens);
 }
 
-auto AdmissionQueue::before(const AdmissionRequest& left, const AdmissionRequest& right, Moment now) const -> bool
+auto AdmissionQueue::goesBefore(const AdmissionRequest& left, const AdmissionRequest& right, Moment now) const -> bool
 {
     const auto leftLate = !onTime(left, now);
     const auto rightLate = !onTime(right, now);
@@ -94,28 +96,28 @@
     return std::tie(leftLate, left.priority, leftAt) < std::tie(rightLate, right.priority, rightAt);
 }
 
-auto AdmissionQueue::order(Moment now) -> void
+auto AdmissionQueue::sortWaiting(Moment now) -> void
 {
     std::sort(waiting_.begin(), waiting_.end(),
-        [&](const AdmissionRequest& left, const AdmissionRequest& right) { return before(left, right, now); });
+        [&](const AdmissionRequest& left, const AdmissionRequest& right) { return goesBefore(left, right, now); });
 }
 
 auto AdmissionQueue::offer(AdmissionRequest request, const Ready& ready, Duration loadTime, Moment now)
     -> std::optional<AdmissionRefusal>
 {
-    auto ahead = unstarted_;
+    auto ahead = unstartedTokens_;
     for (const auto& other : waiting_) {
-        if (ready(other.adapter) && !before(request, other, now))
+        if (ready(other.adapter) && !goesBefore(request, other, now))
             ahead += other.unreadTokens;
     }
-    const auto wait = std::max(readTime(ahead, request.priority, now), loadTime);
-    const auto begins = now + wait + readTime(request.unreadTokens);
-    // Where its aim is over already it loses nothing more by waiting.
+    const auto wait = std::max(prefillTime(ahead, request.priority, now), loadTime);
+    const auto begins = now + wait + prefillTime(request.unreadTokens);
+    // A request that is already late loses nothing by waiting here.
     if (request.elsewhere && now < request.firstEventDeadline && begins > request.firstEventDeadline)
         return AdmissionRefusal { request.attempt, wait, true };
-    noteInflow(request, now);
+    recordInflow(request, now);
     if (begins >= request.callerDeadline)
-        return AdmissionRefusal { request.attempt, std::max(wait, shortestRetry) };
+        return AdmissionRefusal { request.attempt, std::max(wait, minRetry) };
     waiting_.push_back(std::move(request));
     return std::nullopt;
 }
@@ -129,13 +131,13 @@
     const auto most = static_cast<TokenCount>(memoryShare * static_cast<double>(limits_.memory));
     if (memoryUsed_ + memoryOf(request) > most)
         return false;
-    return unstarted_ == 0 || readTime(unstarted_ + request.unreadTokens) <= readAhead;
+    return unstartedTokens_ == 0 || prefillTime(unstartedTokens_ + request.unreadTokens) <= maxOutstandingPrefill;
 }
 
 auto AdmissionQueue::grant(const Ready& ready, Moment now, std::size_t most) -> std::vector<AdmissionRequest>
 {
     auto granted = std::vector<AdmissionRequest>();
-    order(now);
+    sortWaiting(now);
     for (auto& request : waiting_) {
         if (request.readyAt == Moment() && ready(request.adapter))
             request.readyAt = now;
@@ -145,7 +147,8 @@
             ++request;
             continue;
         }
-        // What does not fit holds up what is behind it: else short requests would pass a long one for ever.
+        // A request that does not fit blocks those behind it; otherwise short requests could overtake a long one
+        // forever.
         if (!fits(*request))
             break;
         if (run(*request)) {
@@ -161,15 +164,15 @@
 auto AdmissionQueue::expire(const Ready& ready, Moment now) -> std::vector<AdmissionRefusal>
 {
     auto refused = std::vector<AdmissionRefusal>();
-    order(now);
-    auto ahead = unstarted_;
+    sortWaiting(now);
+    auto ahead = unstartedTokens_;
     std::erase_if(waiting_, [&](const AdmissionRequest& request) {
-        const auto wait = readTime(ahead, request.priority, now);
-        if (now + wait + readTime(request.unreadTokens) < request.callerDeadline) {
+        const auto wait = prefillTime(ahead, request.priority, now);
+        if (now + wait + prefillTime(request.unreadTokens) < request.callerDeadline) {
             ahead += ready(request.adapter) ? request.unreadTokens : 0;
             return false;
         }
-        refused.push_back({ request.attempt, std::max(wait, shortestRetry) });
+        refused.push_back({ request.attempt, std::max(wait, minRetry) });
         return true;
     });
     return refused;
@@ -189,20 +192,20 @@
     if (!running_.try_emplace(request.attempt, Running { request }).second)
         return false;
     memoryUsed_ += memoryOf(request);
-    unstarted_ += request.unreadTokens;
+    unstartedTokens_ += request.unreadTokens;
     return true;
 }
 
 auto AdmissionQueue::adopt(const AdmissionRequest& request) -> void
 {
     if (run(request))
-        settle(running_.at(request.attempt));
+        markStarted(running_.at(request.attempt));
 }
 
-auto AdmissionQueue::settle(Running& running) -> void
+auto AdmissionQueue::markStarted(Running& running) -> void
 {
     running.started = true;
-    unstarted_ -= running.request.unreadTokens;
+    unstartedTokens_ -= running.request.unreadTokens;
 }
 
 auto AdmissionQueue::started(const AttemptId& attempt, Moment now) -> void
@@ -210,7 +213,7 @@
     const auto found = running_.find(attempt);
     if (found == running_.end() || found->second.started)
         return;
-    settle(found->second);
+    markStarted(found->second);
     rate_.started(found->second.request.unreadTokens, now);
 }
 
@@ -222,7 +225,7 @@
         return;
     }
     if (!found->second.started) {
-        settle(found->second);
+        markStarted(found->second);
         rate_.dropped();
     }
     memoryUsed_ -= memoryOf(found->second.request);
@@ -237,7 +240,7 @@
         if (request.adapter.empty() || ready(request.adapter))
             continue;
         const auto late = !onTime(request, now + loadTime);
-        const auto turn = Turn(late, late ? request.arrivedAt : startBy(request));
+        const auto turn = Turn(late, late ? request.arrivedAt : latestStart(request));
         const auto [found, added] = turns.try_emplace(request.adapter, turn);
         found->second = std::min(found->second, turn);
     }
--- a/packages/decisions/AdmissionQueue.h
+++ b/packages/decisions/AdmissionQueue.h
@@ -15,131 +15,139 @@
 
 using TokenCount = std::uint64_t;
 
-/// A request that asks to be sent to one replica.
+/// A request for admission to one replica.
 struct AdmissionRequest {
     AttemptId attempt;
     /// Empty for the base model.
     AdapterId adapter;
     TokenCount promptTokens = 0;
-    /// Prompt tokens that the replica has still to read, by what is known of its cache.
+    /// Prompt tokens that the replica still has to process, as far as its prefix cache is known.
     TokenCount unreadTokens = 0;
     TokenCount outputTokens = 0;
     /// 0 is the most urgent.
     std::uint32_t priority = 5;
     Moment arrivedAt {};
-    /// When its adapter was there; set by the queue.
+    /// When its adapter became usable; set by the queue.
     Moment readyAt {};
-    /// When the first event is late.
+    /// The answer's first event is on time until this moment.
     Moment firstEventDeadline = Moment::max();
-    /// When nobody waits for it any more.
+    /// When the caller stops waiting.
     Moment callerDeadline = Moment::max();
-    /// Its entry can ask another replica, should it be late here.
+    /// Whether its entry can send it to another replica if it would be late at this one.
     bool elsewhere = false;
 };
 
-/// What one replica can take.
+/// The capacity of one replica.
 struct ReplicaLimits {
     std::size_t batch = 64;
     /// Memory for prompts and answers, in tokens.
     TokenCount memory = 200000;
-    /// Prompt tokens read in a millisecond, until it is measured.
+    /// Expected prompt tokens processed per millisecond, used until the rate has been measured.
     double readRate = 40;
 };
 
-/// The request is not taken in; it has not been sent.
+/// The request was not queued, or was removed from the queue; it was not sent to the replica.
 struct AdmissionRefusal {
     AttemptId attempt;
-    /// When the work ahead will be done.
+    /// Time until the work ahead of the request is done.
     Duration retryAfter {};
-    /// It would be served here, but late, and may be in time elsewhere.
+    /// Whether the replica would serve the request, but late; another replica may be on time.
     bool late = false;
 };
 
-/// An adapter that waiting requests need.
+/// An adapter that queued requests wait for.
 struct WantedAdapter {
     AdapterId adapter;
-    /// None of them would still be on time.
+    /// Whether none of these requests could still be on time.
     bool late = false;
 };
 
-/// Whether a free or unused slot may be given to the adapter. `spareSlots` counts those that are not promised yet.
+/// Whether the adapter may take a free or unused slot. `spareSlots` counts the slots that are not yet assigned.
 ///
-/// Load made for: more adapters in use than slots. Harm prevented: the slot that the next caller could have had in time
-/// is taken, for seconds, by one who hears too late anyway; then everybody does. One slot is enough: what is late gets
-/// the next that is free beside it.
+/// Expected load: more adapters in use than slots.
+/// Prevents: a request that is late in any case occupying, for seconds, the slot with which the next request could have
+/// been on time, until all requests are late. Reserving one slot is enough: late requests get any further free slot.
 [[nodiscard]] constexpr auto mayTakeSlot(const WantedAdapter& wanted, std::size_t spareSlots) noexcept -> bool
 {
     constexpr auto keptFree = std::size_t(1);
     return !wanted.late || spareSlots > keptFree;
 }
 
-/// Which requests a replica gets, and in which order, as the process beside it decides.
+/// Admission control of one replica, run by its agent: decides which requests the replica receives, and in which order.
 ///
-/// Load made for: bursts of long prompts beside short ones, and a batch that is full.
-/// Harm prevented: a prompt of a thousand pages before which short questions wait in the engine's own queue, where
-/// nobody can reorder or refuse them; requests read in vain because their callers left; running streams preempted since
-/// more was admitted than the memory holds; callers told only at their deadline that it was hopeless.
+/// Expected load: bursts of mixed long and short prompts, and a full batch.
+/// Prevents: short prompts waiting behind a prompt of a thousand pages in the engine's own queue, where they can be
+/// neither reordered nor refused; prompts processed after their callers have left; running streams preempted because
+/// more requests were admitted than the memory holds; callers learning only at their deadline that they will not be
+/// served.
 ///
-/// Granted are at most `batch` requests, at most `memoryShare` of the memory, and prompt work for `readAhead`: less
-/// would leave the engine idle between two grants, more would take the order out of our hands.
-/// Order: what can still be on time, the more urgent first, then by the moment it will be late; behind it what will be
-/// late anyway, in order of arrival. Taking the earliest moment first without asking whether it can still be met serves
-/// everything a little too late once there is more work than time.
-/// What cannot be reached before its caller leaves is refused when that is known and not when it has waited for it; the
-/// share of the engine that more urgent requests have lately taken is counted as not there.
+/// At most `batch` requests are granted, using at most `memoryShare` of the memory, and with at most
+/// `maxOutstandingPrefill` of prompt processing outstanding. Less would leave the engine idle between grants; more
+/// would leave the order to the engine.
+///
+/// Requests that can still be on time come first, by priority and then by deadline of their first event; requests that
+/// will be late follow, in order of arrival. Earliest deadline first without this distinction serves every request
+/// slightly too late under overload.
+///
+/// A request that cannot start before its caller leaves is refused as soon as this is known. The estimate excludes the
+/// share of the engine that more urgent requests have recently used.
 ///
 /// ```cpp
-/// if (auto refusal = queue.offer(request, ready, now)) answer(*refusal);
+/// if (auto refusal = queue.offer(request, ready, loadTime, now)) answer(*refusal);
 /// for (auto& granted : queue.grant(ready, now)) send(granted);
 /// ```
 class AdmissionQueue {
 public:
-    /// Whether a request's adapter can be used now.
+    /// Whether an adapter can be used now.
     using Ready = std::function<bool(const AdapterId&)>;
 
     auto setLimits(ReplicaLimits limits) -> void;
     [[nodiscard]] auto limits() const noexcept -> const ReplicaLimits& { return limits_; }
 
-    /// Takes the request in, unless what is ahead of it takes longer than its caller waits. `loadTime` is what its
-    /// adapter still needs.
+    /// Queues the request, unless the work ahead of it takes longer than its caller waits. `loadTime` is the remaining
+    /// load time of its adapter.
     ///
-    /// A request that would be late here and can go elsewhere is told so. Its entry chose by figures that are some
-    /// hundred milliseconds old, in which others chose the same replica; the queue's own figures are true.
+    /// A request that would be late but can be sent to another replica is refused with `late`. Its entry chose by
+    /// reports that are a few hundred milliseconds old, and other entries may have chosen the same replica since; the
+    /// queue knows the current load.
     [[nodiscard]] auto offer(AdmissionRequest request, const Ready& ready, Duration loadTime, Moment now)
         -> std::optional<AdmissionRefusal>;
-    /// Takes out what may be sent now, `most` at the most.
+    /// Removes and returns the requests that may be sent now, at most `most`.
     [[nodiscard]] auto grant(const Ready& ready, Moment now, std::size_t most = SIZE_MAX)
         -> std::vector<AdmissionRequest>;
-    /// Takes out what will not be reached before its caller leaves.
+    /// Removes and refuses the requests that cannot start before their callers leave.
     [[nodiscard]] auto expire(const Ready& ready, Moment now) -> std::vector<AdmissionRefusal>;
-    /// Takes everything out, as when the replica is gone.
+    /// Removes and refuses all requests, for example when the replica is gone.
     [[nodiscard]] auto drain(Duration retryAfter) -> std::vector<AdmissionRefusal>;
 
-    /// A request runs that no grant of ours allowed: it was granted, and read, before this process started.
+    /// Records a running request whose prompt was granted and processed before this process started.
     auto adopt(const AdmissionRequest& request) -> void;
-    /// Its first event came: its prompt has been read.
+    /// Records the first event of the answer, which shows that the prompt has been processed.
     auto started(const AttemptId& attempt, Moment now) -> void;
-    /// The request is over, or its caller left while it waited.
+    /// Records that the request ended, or that its caller left while it waited.
     auto release(const AttemptId& attempt) -> void;
 
-    /// Adapters that waiting requests need and that are not ready, in the order in which they are to be loaded: first
-    /// those with a request that would still be on time after a load of `loadTime`, by the moment it will be late.
-    /// Taking the longest wait first makes every request late once there are more adapters than slots.
+    /// Adapters that queued requests wait for and that are not ready, in the order in which to load them: first those
+    /// with a request that would still be on time after a load of `loadTime`, by the moment at which its prompt
+    /// processing must start. Loading for the longest wait first makes every request late if there are more adapters
+    /// than slots.
     [[nodiscard]] auto wanted(const Ready& ready, Duration loadTime, Moment now) const -> std::vector<WantedAdapter>;
+    /// Whether a queued request uses the adapter.
     [[nodiscard]] auto waits(const AdapterId& adapter) const -> bool;
     [[nodiscard]] auto running() const noexcept -> std::size_t { return running_.size(); }
     [[nodiscard]] auto queued() const noexcept -> std::size_t { return waiting_.size(); }
-    /// The adapter of a granted request; empty when it is not granted.
+    /// The adapter of a granted request; no value if the request is not granted.
     [[nodiscard]] auto adapterOf(const AttemptId& attempt) const -> std::optional<AdapterId>;
-    /// When it was granted; empty when it is not, or was by an earlier process.
+    /// When the request was granted; no value if it is not granted or was granted by an earlier process.
     [[nodiscard]] auto grantedAt(const AttemptId& attempt) const -> std::optional<Moment>;
-    /// Prompt tokens to be read before a request that comes now. What waits for its adapter is not in the way of
-    /// others: counted, it made replicas look busy that were not, and adapters were copied to more of them, which took
-    /// the slots that they waited for.
+    /// Prompt tokens to be processed before a request that arrives now. Excludes requests that wait for their adapters,
+    /// since they do not delay others. When they were counted, idle replicas appeared busy, adapters were copied to
+    /// further replicas, and the copies took the slots that those requests waited for.
     [[nodiscard]] auto tokensAhead(const Ready& ready) const -> TokenCount;
-    /// Prompt tokens that wait for their adapters: they go before a request whose adapter is wanted only now.
+    /// Prompt tokens of requests that wait for their adapters; they go before a request whose adapter is requested
+    /// later.
     [[nodiscard]] auto tokensWaiting(const Ready& ready) const -> TokenCount;
-    /// Prompt tokens that the replica reads in a millisecond, as measured.
+    /// Measured number of prompt tokens that the replica processes per millisecond.
     [[nodiscard]] auto readRate() const noexcept -> double { return rate_.perMillisecond(); }
     [[nodiscard]] auto memoryUsed() const noexcept -> TokenCount { return memoryUsed_; }
 
@@ -149,30 +157,32 @@
         bool started = false;
         std::optional<Moment> grantedAt {};
     };
-    /// Work that came lately, by urgency, in tokens a millisecond.
+    /// Decaying rate at which prompt tokens of one priority arrive, in tokens per millisecond, as of `at`.
     struct Inflow {
         double rate = 0;
         Moment at {};
     };
-    [[nodiscard]] auto readTime(TokenCount tokens) const -> Duration;
-    /// The same for requests that yield to more urgent ones.
-    [[nodiscard]] auto readTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration;
+    /// Time to process this many prompt tokens.
+    [[nodiscard]] auto prefillTime(TokenCount tokens) const -> Duration;
+    /// The same, without the share of the engine that requests of higher priority use.
+    [[nodiscard]] auto prefillTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration;
     [[nodiscard]] auto onTime(const AdmissionRequest& request, Moment now) const -> bool;
-    /// When its reading must begin for its first event to be on time.
-    [[nodiscard]] auto startBy(const AdmissionRequest& request) const -> Moment;
-    [[nodiscard]] auto before(const AdmissionRequest& left, const AdmissionRequest& right, Moment now) const -> bool;
-    auto order(Moment now) -> void;
-    auto noteInflow(const AdmissionRequest& request, Moment now) -> void;
+    /// When processing of the prompt must start for the first event to be on time.
+    [[nodiscard]] auto latestStart(const AdmissionRequest& request) const -> Moment;
+    [[nodiscard]] auto goesBefore(const AdmissionRequest& left, const AdmissionRequest& right, Moment now) const
+        -> bool;
+    auto sortWaiting(Moment now) -> void;
+    auto recordInflow(const AdmissionRequest& request, Moment now) -> void;
     [[nodiscard]] auto fits(const AdmissionRequest& request) const -> bool;
     auto run(const AdmissionRequest& request) -> bool;
-    auto settle(Running& running) -> void;
+    auto markStarted(Running& running) -> void;
     ReplicaLimits limits_;
     PrefillRate rate_ { ReplicaLimits().readRate };
     std::vector<AdmissionRequest> waiting_;
     std::map<AttemptId, Running> running_;
     std::map<std::uint32_t, Inflow> inflow_;
     TokenCount memoryUsed_ = 0;
-    TokenCount unstarted_ = 0;
+    TokenCount unstartedTokens_ = 0;
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/RequestQueue.cpp
+++ b/packages/decisions/RequestQueue.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-// Background work fills three quarters of the queue at most, so that a surge of drafts leaves room for a clause that
-// somebody waits for at the screen.
+// Background requests fill at most three quarters of the queue, so that a surge of drafts leaves room for interactive
+// requests.
 constexpr auto backgroundShare = 0.75;
-// One place in sixteen, one at least, is kept for interactive calls, and only while such calls come: kept always it
-// would cost a surge of drafts an eighth of a batch of eight.
+// One place in sixteen, at least one, is reserved for interactive calls, but only while such calls arrive. A permanent
+// reservation would cost a surge of drafts an eighth of a batch of eight.
 constexpr auto reservedShare = std::size_t(16);
-constexpr auto interactiveSeen = Duration(10s);
-// A draft that has waited this long goes with the interactive calls, so that it starts at last.
-constexpr auto agedAfter = Duration(30s);
-// Weight of the newest measurement; about the last eight count.
-constexpr auto newest = 0.125;
-constexpr auto shortestRetry = Duration(1s);
+constexpr auto interactiveWindow = Duration(10s);
+// A draft that has waited this long is treated like an interactive call, so that it is not starved.
+constexpr auto agingTime = Duration(30s);
+// Weight of the newest measurement in the exponential average, which covers about the last eight.
+constexpr auto smoothingFactor = 0.125;
+constexpr auto minRetry = Duration(1s);
 
 auto smoothed(Duration before, Duration measured) -> Duration
 {
-    const auto change = static_cast<double>((measured - before).count()) * newest;
+    const auto change = static_cast<double>((measured - before).count()) * smoothingFactor;
     return before + Duration(static_cast<Duration::rep>(change));
 }
 
-auto retryAfter(Duration missing) -> Duration { return std::max(missing, shortestRetry); }
+auto retryAfter(Duration missing) -> Duration { return std::max(missing, minRetry); }
 
 } // namespace
 
@@ -44,10 +44,10 @@
 
 auto RequestQueue::urgent(const QueuedRequest& request, Moment now) const -> bool
 {
-    return !traitsOf(request.requestClass).background || now - request.arrivedAt >= agedAfter;
+    return !traitsOf(request.requestClass).background || now - request.arrivedAt >= agingTime;
 }
 
-auto RequestQueue::timeToRun(const QueuedRequest& request) const -> Duration
+auto RequestQueue::expectedRunTime(const QueuedRequest& request) const -> Duration
 {
     const auto found = runTimes_.find(request.requestClass);
     return found == runTimes_.end() ? Duration::zero() : found->second;
@@ -62,24 +62,24 @@
     if (static_cast<double>(requests_.size()) >= share * static_cast<double>(limit_))
         return Refused { Refused::Reason::Full, retryAfter(start) };
     if (request.deadline != Moment::max()) {
-        // Refused now, while the caller can still go elsewhere, and not at its deadline.
-        const auto left = request.deadline - now - timeToRun(request);
+        // Refused now, while the caller can still use another target, instead of at its deadline.
+        const auto left = request.deadline - now - expectedRunTime(request);
         if (start > left)
             return Refused { Refused::Reason::TooLate, retryAfter(start - std::max(left, Duration::zero())) };
     }
     if (!traits.background)
-        interactiveAt_ = now;
+        lastInteractiveAt_ = now;
     const auto waits = std::any_of(
         requests_.begin(), requests_.end(), [&](const QueuedRequest& other) { return other.member == request.member; });
-    // A member that was away does not come back with a claim on all that it left unused.
+    // A member that was inactive does not accumulate a claim on the engine time that it did not use.
     if (!waits)
         served_[request.member] = std::max(served_[request.member], servedFloor_);
     requests_.push_back(std::move(request));
     return Admitted {};
 }
 
-// Those that run anyway before it, at the rate at which the engine's places become free; a load adds the turns of the
-// loads before its own.
+// The requests that run before this one, at the rate at which places of the batch become free. If the adapter must be
+// loaded, at least the time of that load and of the loads ahead of it.
 auto RequestQueue::expectedStart(
     const QueuedRequest& request, const IsResident& resident, std::size_t running, Moment now) const -> Duration
 {
@@ -95,20 +95,20 @@
                 loads.insert(other.model);
             continue;
         }
-        ahead += timeToRun(other);
+        ahead += expectedRunTime(other);
         ++count;
     }
     const auto places = static_cast<Duration::rep>(std::max(batch_, std::size_t(1)));
-    const auto wait = count < batch_ ? Duration::zero() : (ahead + timeToRun(request)) / places;
+    const auto wait = count < batch_ ? Duration::zero() : (ahead + expectedRunTime(request)) / places;
     if (here)
         return wait;
     const auto turns = static_cast<Duration::rep>(loads.size() + 1);
     return std::max(wait, loadTime_ * turns);
 }
 
-auto RequestQueue::reserved(Moment now) const -> std::size_t
+auto RequestQueue::reservedPlaces(Moment now) const -> std::size_t
 {
-    if (!interactiveAt_ || now - *interactiveAt_ > interactiveSeen)
+    if (!lastInteractiveAt_ || now - *lastInteractiveAt_ > interactiveWindow)
         return 0;
     return std::max(batch_ / reservedShare, std::size_t(1));
 }
@@ -117,13 +117,13 @@
 {
     if (running >= batch_)
         return std::nullopt;
-    const auto reserveLeft = running + reserved(now) < batch_;
+    const auto placesBeyondReserve = running + reservedPlaces(now) < batch_;
     auto best = requests_.end();
     const auto rank = [&](const QueuedRequest& request) {
         return std::tuple(!urgent(request, now), served_[request.member], request.arrivedAt);
     };
     for (auto request = requests_.begin(); request != requests_.end(); ++request) {
-        if (!reserveLeft && !urgent(*request, now))
+        if (!placesBeyondReserve && !urgent(*request, now))
             continue;
         if (!request->model.empty() && !resident(request->model))
             continue;
@@ -140,13 +140,13 @@
 
 auto RequestQueue::charge(const QueuedRequest& request) -> void
 {
-    const auto known = std::chrono::duration<double>(timeToRun(request)).count();
+    const auto known = std::chrono::duration<double>(expectedRunTime(request)).count();
     auto& served = served_[request.member];
     servedFloor_ = std::max(servedFloor_, served);
     served += known > 0 ? known : 1;
-    // Members that have nothing here any more are forgotten, so that this map is no larger than the queue.
-    constexpr auto kept = std::size_t(1024);
-    if (served_.size() > kept)
+    // Forgets members at or below the floor, so that the map does not outgrow the queue.
+    constexpr auto maxMembers = std::size_t(1024);
+    if (served_.size() > maxMembers)
         std::erase_if(served_, [&](const auto& entry) { return entry.second <= servedFloor_; });
 }
 
@@ -165,10 +165,10 @@
     auto candidates = std::vector<LoadCandidate>();
     for (auto& [model, candidate] : byModel)
         candidates.push_back(std::move(candidate));
-    const auto worth
+    const auto priority
         = [&](const LoadCandidate& candidate) { return loadPriority(candidate.weight, candidate.oldestAt, now); };
     std::sort(candidates.begin(), candidates.end(),
-        [&](const LoadCandidate& a, const LoadCandidate& b) { return worth(a) > worth(b); });
+        [&](const LoadCandidate& a, const LoadCandidate& b) { return priority(a) > priority(b); });
     return candidates;
 }
 
@@ -178,7 +178,7 @@
     const auto tooLate = [&](const QueuedRequest& request) {
         if (request.deadline == Moment::max())
             return false;
-        return now + timeToRun(request) > request.deadline;
+        return now + expectedRunTime(request) > request.deadline;
     };
     for (const auto& request : requests_) {
         if (tooLate(request))
--- a/packages/decisions/RequestQueue.h
+++ b/packages/decisions/RequestQueue.h
@@ -11,14 +11,14 @@
 
 namespace eelgrass::decisions {
 
-/// How a class of requests is treated. Weight counts in the order of loads; background work leaves room to others.
+/// How a class of requests is treated. `weight` affects the order of loads; background requests leave room for others.
 struct ClassTraits {
     double weight = 2;
     bool background = false;
 };
 [[nodiscard]] auto traitsOf(const RequestClass&) -> ClassTraits;
 
-/// One request that waits at a target.
+/// A request that waits at a target.
 struct QueuedRequest {
     AttemptId attempt;
     MemberId member;
@@ -26,22 +26,23 @@
     ModelName model;
     RequestClass requestClass;
     Moment arrivedAt {};
-    /// When its caller wants the whole answer; `Moment::max()` for no deadline.
+    /// When the caller needs the complete answer; `Moment::max()` for no deadline.
     Moment deadline = Moment::max();
 };
 
-/// The request waits here now.
+/// The request was queued.
 struct Admitted { };
-/// The request does not wait here; it has not run.
+/// The request was not queued and has not run.
 struct Refused {
     enum class Reason { Full, TooLate };
     Reason reason = Reason::Full;
-    /// When the queue will have drained far enough at the rate measured.
+    /// Time until the queue will have drained far enough, at the measured rate.
     Duration retryAfter {};
 };
 using Admission = std::variant<Admitted, Refused>;
 
-/// The adapter that the most, most urgent and most patient requests wait for.
+/// An adapter that queued requests wait for. `weight` is the sum of their class weights, `oldestAt` the arrival of the
+/// oldest one, `member` the member of the first one.
 struct LoadCandidate {
     ModelName model;
     MemberId member;
@@ -49,21 +50,22 @@
     Moment oldestAt {};
 };
 
-/// What a request given up on is told.
+/// A request removed because it can no longer be answered before its deadline.
 struct Expired {
     AttemptId attempt;
     Duration retryAfter {};
 };
 
-/// The bounded queue of one target: admits what can start in time, and says what starts next.
+/// The bounded queue of one target: admits the requests that can be answered in time, and selects which one starts
+/// next.
 ///
-/// Load made for: bursts, full saturation, one member that asks for far more than the others, long drafts among short
-/// interactive calls.
-/// Harm prevented: callers who wait only to be told no at their deadline, members crowded out by one, interactive
-/// calls behind minutes of drafts, drafts that never start.
+/// Expected load: bursts, full saturation, one member that sends far more requests than the others, long drafts mixed
+/// with short interactive calls.
+/// Prevents: callers refused only at their deadline, one member crowding out the others, interactive calls waiting
+/// behind minutes of drafts, and drafts that never start.
 ///
 /// ```cpp
-/// auto admission = queue.offer(request, resident, now);
+/// auto admission = queue.offer(request, isResident, running, now);
 /// while (auto next = queue.next(running, isResident, now)) ...
 /// ```
 class RequestQueue {
@@ -78,28 +80,28 @@
 
     [[nodiscard]] auto offer(QueuedRequest request, const IsResident& resident, std::size_t running, Moment now)
         -> Admission;
-    /// Puts back a request that had started or was admitted before; it is not refused.
+    /// Queues a request that was admitted or had started before, without checking whether it can be admitted.
     auto putBack(QueuedRequest request) -> void { requests_.push_back(std::move(request)); }
-    /// Takes the request that starts next while `running` others run; empty when none may.
+    /// Removes and returns the request that starts next while `running` others run, or no value if none may start.
     [[nodiscard]] auto next(std::size_t running, const IsResident& resident, Moment now)
         -> std::optional<QueuedRequest>;
-    /// Adapters that are waited for and not resident, most worthy first.
+    /// Adapters that requests wait for and that are not resident, by descending load priority.
     [[nodiscard]] auto loadCandidates(const IsResident& resident, Moment now) const -> std::vector<LoadCandidate>;
-    /// Takes out the requests that can no longer be answered in time.
+    /// Removes and returns the requests that can no longer be answered in time.
     [[nodiscard]] auto expire(const IsResident& resident, Moment now) -> std::vector<Expired>;
     auto remove(const AttemptId&) -> void;
-    /// Drops the requests that wait no more, as after a cancel.
+    /// Removes the requests for which `waits` returns false, for example cancelled ones.
     template <typename Predicate> auto keepOnly(Predicate&& waits) -> void
     {
         std::erase_if(requests_, [&](const QueuedRequest& request) { return !waits(request.attempt); });
     }
 
-    /// A started request ended after this time on the engine.
+    /// Records how long a request of the class ran on the engine.
     auto recordRunTime(const RequestClass&, Duration) -> void;
-    /// A load ended this long after it was first wanted.
+    /// Records the time from when a load was first wanted until it ended.
     auto recordLoadTime(Duration) -> void;
 
-    /// Mean time between two places of the full batch becoming free.
+    /// Mean interval at which places of a full batch become free.
     [[nodiscard]] auto placeTime() const -> Duration;
     [[nodiscard]] auto size() const noexcept -> std::size_t { return requests_.size(); }
     [[nodiscard]] auto all() const noexcept -> const std::vector<QueuedRequest>& { return requests_; }
@@ -108,21 +110,22 @@
     [[nodiscard]] auto urgent(const QueuedRequest&, Moment now) const -> bool;
     [[nodiscard]] auto expectedStart(const QueuedRequest&, const IsResident&, std::size_t running, Moment now) const
         -> Duration;
-    [[nodiscard]] auto timeToRun(const QueuedRequest&) const -> Duration;
-    [[nodiscard]] auto reserved(Moment now) const -> std::size_t;
+    [[nodiscard]] auto expectedRunTime(const QueuedRequest&) const -> Duration;
+    [[nodiscard]] auto reservedPlaces(Moment now) const -> std::size_t;
     auto charge(const QueuedRequest&) -> void;
 
     std::size_t limit_;
     std::size_t batch_;
     std::vector<QueuedRequest> requests_;
-    /// Work that each member has been given, in requests weighted by their time; the least goes first.
+    /// Engine time used by each member, in seconds, with a request of unknown duration counted as one second. The
+    /// member with the least goes first.
     std::map<MemberId, double> served_;
     double servedFloor_ = 0;
     std::map<RequestClass, Duration> runTimes_;
-    /// Of all classes together.
+    /// Smoothed over all classes.
     Duration runTime_ = 2s;
     Duration loadTime_ = 500ms;
-    std::optional<Moment> interactiveAt_;
+    std::optional<Moment> lastInteractiveAt_;
 };
 
 } // namespace eelgrass::decisions
--- a/tests/unit/AdapterSlots.cpp
+++ b/tests/unit/AdapterSlots.cpp
@@ -33,9 +33,8 @@
     BOOST_TEST(is<UseNow>(slots.request(model("a"), at(3))));
 }
 
-// A caller's answer would come from other weights if its adapter were evicted while it runs.
-// Two adapters fill both slots, both are pinned by running requests, a third is asked for.
-// It must wait, and take the slot of the first that is released.
+// Guards against evicting the adapter of a running request, whose answer would then be generated with other weights.
+// Both slots are pinned by running requests; a request for a third adapter must wait until one is released.
 BOOST_AUTO_TEST_CASE(a_pinned_adapter_is_never_a_victim)
 {
     auto slots = AdapterSlots(2);
@@ -50,9 +49,8 @@
     BOOST_TEST(std::get<EvictFirst>(answer).victim.str() == "b");
 }
 
-// A caller asks for an adapter just as it is being unloaded.
-// A load sent beside the unload could be overtaken by it, and the request would find no weights.
-// So the request waits for the end of the unload and then asks for a load.
+// An adapter is requested while it is being unloaded. The unload could overtake a load sent at the same time, and the
+// request would find no weights, so the load must wait until the unload has ended.
 BOOST_AUTO_TEST_CASE(a_request_during_an_unload_waits_and_loads_again)
 {
     auto slots = AdapterSlots(1);
@@ -63,9 +61,9 @@
     BOOST_TEST(is<LoadNow>(slots.request(model("a"), at(2))));
 }
 
-// A run of requests for rare adapters comes in between two requests for a popular one.
-// By time of last use the popular adapter would go, and its many callers would wait for a load.
-BOOST_AUTO_TEST_CASE(a_popular_adapter_outlives_a_run_of_rare_ones)
+// Guards against a series of requests for rare adapters evicting a popular one, whose many callers would then wait for
+// a load. By time of last use the popular adapter would be evicted.
+BOOST_AUTO_TEST_CASE(a_popular_adapter_is_kept_during_requests_for_rare_ones)
 {
     auto slots = AdapterSlots(2);
     for (auto request = 0; request < 5; ++request)
@@ -82,9 +80,9 @@
     BOOST_TEST(std::get<EvictFirst>(answer).victim.str() == "rare");
 }
 
-// An adapter was loaded for a request that has not started yet, and a second adapter is asked for.
-// Evicting the first would waste its load and make its caller wait for another.
-BOOST_AUTO_TEST_CASE(a_load_that_nobody_used_yet_is_kept_for_its_caller)
+// An adapter was loaded for a request that has not started yet, and another adapter is requested. Evicting the first
+// would waste its load and make its caller wait for another.
+BOOST_AUTO_TEST_CASE(an_adapter_is_not_evicted_before_its_first_use)
 {
     auto slots = AdapterSlots(1);
     loaded(slots, "a", 0);
@@ -94,9 +92,9 @@
     BOOST_TEST(is<EvictFirst>(slots.request(model("b"), at(3))));
 }
 
-// Every adapter of one member is wanted at once. It may take half of the slots; then it makes room among its own, and
-// the callers of the other members find their adapters where they were.
-BOOST_AUTO_TEST_CASE(a_member_that_wakes_up_leaves_the_others_half_of_the_slots)
+// All adapters of one member are requested at once. The member may take half of the slots and must then evict its own
+// adapters, so that adapters of other members stay loaded.
+BOOST_AUTO_TEST_CASE(a_surge_of_one_member_leaves_half_of_the_slots)
 {
     const auto shifted = MemberId("shifted");
     auto slots = AdapterSlots(4);
--- a/tests/unit/AdmissionQueue.cpp
+++ b/tests/unit/AdmissionQueue.cpp
@@ -11,7 +11,7 @@
 
 const auto always = [](const AdapterId&) { return true; };
 
-auto ask(const std::string& attempt, TokenCount tokens, Duration late, Duration gone, Moment now = {})
+auto requestOf(const std::string& attempt, TokenCount tokens, Duration late, Duration patience, Moment now = {})
     -> AdmissionRequest
 {
     return { .attempt = AttemptId(attempt),
@@ -21,28 +21,28 @@
         .outputTokens = 50,
         .arrivedAt = now,
         .firstEventDeadline = now + late,
-        .callerDeadline = now + gone };
+        .callerDeadline = now + patience };
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_read_in_time_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(a_request_that_cannot_start_in_time_is_refused_at_once)
 {
     auto queue = AdmissionQueue();
     queue.setLimits({ .readRate = 40 });
-    BOOST_TEST(!queue.offer(ask("long", 40000, 800ms, 4s), always, {}, {}).has_value());
-    const auto refusal = queue.offer(ask("hopeless", 40000, 800ms, 1900ms), always, {}, {});
+    BOOST_TEST(!queue.offer(requestOf("long", 40000, 800ms, 4s), always, {}, {}).has_value());
+    const auto refusal = queue.offer(requestOf("hopeless", 40000, 800ms, 1900ms), always, {}, {});
     BOOST_REQUIRE(refusal.has_value());
-    // The work ahead takes a second; coming back sooner would be in vain.
+    // The work ahead takes one second; an earlier retry would be refused again.
     BOOST_TEST(refusal->retryAfter.count() == Duration(1s).count());
 }
 
-BOOST_AUTO_TEST_CASE(what_can_be_on_time_goes_before_what_is_late)
+BOOST_AUTO_TEST_CASE(requests_that_can_be_on_time_go_before_late_ones)
 {
     auto queue = AdmissionQueue();
-    (void)queue.offer(ask("late", 100, 0ms, 4s, Moment()), always, {}, Moment());
-    (void)queue.offer(ask("soon", 100, 500ms, 4s, Moment()), always, {}, Moment());
-    (void)queue.offer(ask("sooner", 100, 200ms, 4s, Moment()), always, {}, Moment());
+    (void)queue.offer(requestOf("late", 100, 0ms, 4s, Moment()), always, {}, Moment());
+    (void)queue.offer(requestOf("soon", 100, 500ms, 4s, Moment()), always, {}, Moment());
+    (void)queue.offer(requestOf("sooner", 100, 200ms, 4s, Moment()), always, {}, Moment());
     const auto granted = queue.grant(always, Moment(10ms));
     BOOST_REQUIRE(granted.size() == 3U);
     BOOST_TEST(granted[0].attempt.str() == "sooner");
@@ -50,29 +50,29 @@
     BOOST_TEST(granted[2].attempt.str() == "late");
 }
 
-BOOST_AUTO_TEST_CASE(memory_and_batch_are_not_overfilled)
+BOOST_AUTO_TEST_CASE(grants_stay_within_memory_and_batch)
 {
     auto queue = AdmissionQueue();
     queue.setLimits({ .batch = 3, .memory = 10000, .readRate = 1000 });
     for (auto count = 0; count < 6; ++count)
-        (void)queue.offer(ask("r" + std::to_string(count), 100, 1s, 9s), always, {}, {});
+        (void)queue.offer(requestOf("r" + std::to_string(count), 100, 1s, 9s), always, {}, {});
     BOOST_TEST(queue.grant(always, {}).size() == 3U);
     queue.release(AttemptId("r0"));
     BOOST_TEST(queue.grant(always, {}).size() == 1U);
     auto small = AdmissionQueue();
     small.setLimits({ .batch = 64, .memory = 1000, .readRate = 1000 });
     for (auto count = 0; count < 6; ++count)
-        (void)small.offer(ask("r" + std::to_string(count), 250, 1s, 9s), always, {}, {});
+        (void)small.offer(requestOf("r" + std::to_string(count), 250, 1s, 9s), always, {}, {});
     BOOST_TEST(small.grant(always, {}).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_whose_adapter_comes_does_not_hold_up_others)
+BOOST_AUTO_TEST_CASE(a_request_that_waits_for_its_adapter_does_not_block_others)
 {
     auto queue = AdmissionQueue();
-    auto waiting = ask("waiting", 100, 100ms, 4s);
+    auto waiting = requestOf("waiting", 100, 100ms, 4s);
     waiting.adapter = AdapterId("coming");
     (void)queue.offer(waiting, always, 300ms, {});
-    (void)queue.offer(ask("ready", 100, 500ms, 4s), always, {}, {});
+    (void)queue.offer(requestOf("ready", 100, 500ms, 4s), always, {}, {});
     const auto ready = [](const AdapterId& adapter) { return adapter.str() == "a"; };
     const auto granted = queue.grant(ready, {});
     BOOST_REQUIRE(granted.size() == 1U);
@@ -82,26 +82,26 @@
     BOOST_TEST(wanted[0].adapter.str() == "coming");
 }
 
-// A replica at which ten requests wait for their adapters looks free to one whose adapter is there, and takes it at
-// once.
-BOOST_AUTO_TEST_CASE(what_waits_for_its_adapter_is_not_in_the_way)
+// Ten requests that wait for their adapters do not count as work ahead of a request whose adapter is ready, and do not
+// delay it.
+BOOST_AUTO_TEST_CASE(requests_that_wait_for_adapters_are_not_ahead_of_others)
 {
     auto queue = AdmissionQueue();
     const auto ready = [](const AdapterId& adapter) { return adapter.str() == "a"; };
     for (auto count = 0; count < 10; ++count) {
-        auto waiting = ask("w" + std::to_string(count), 9000, 800ms, 4s);
+        auto waiting = requestOf("w" + std::to_string(count), 9000, 800ms, 4s);
         waiting.adapter = AdapterId("coming-" + std::to_string(count));
         (void)queue.offer(waiting, ready, 300ms, {});
     }
     BOOST_TEST(queue.tokensAhead(ready) == 0U);
-    BOOST_TEST(!queue.offer(ask("ready", 9000, 800ms, 1s), ready, {}, {}).has_value());
+    BOOST_TEST(!queue.offer(requestOf("ready", 9000, 800ms, 1s), ready, {}, {}).has_value());
     BOOST_TEST(queue.grant(ready, {}).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_over_leaves_no_trace)
+BOOST_AUTO_TEST_CASE(an_ended_request_releases_its_memory)
 {
     auto queue = AdmissionQueue();
-    (void)queue.offer(ask("one", 1000, 1s, 4s), always, {}, {});
+    (void)queue.offer(requestOf("one", 1000, 1s, 4s), always, {}, {});
     (void)queue.grant(always, {});
     BOOST_TEST(queue.memoryUsed() == 1050U);
     queue.started(AttemptId("one"), {});
@@ -112,10 +112,10 @@
     BOOST_TEST(queue.running() == 0U);
 }
 
-// A burst at three times what the engine reads: reports of 9,000 tokens beside questions of 800, for ten seconds. The
-// engine reads in the order granted. Questions, which can all be served, are; what is refused hears of it at once, and
-// what is granted is read before its caller leaves. A queue in order of arrival is the baseline.
-BOOST_AUTO_TEST_CASE(a_burst_of_reports_leaves_room_for_questions)
+// A burst of ten seconds at three times the capacity of the engine: prompts of 9,000 tokens mixed with prompts of 800.
+// The engine processes prompts in the order granted. Most short prompts must be on time, refusals must come early, and
+// every granted prompt must be processed before its caller leaves.
+BOOST_AUTO_TEST_CASE(short_prompts_are_on_time_in_a_burst_of_long_ones)
 {
     constexpr auto rate = 40.0;
     auto random = std::mt19937(7);
@@ -123,8 +123,8 @@
     queue.setLimits({ .batch = 64, .memory = 250000, .readRate = rate });
     auto engineFree = Moment();
     auto onTime = 0;
-    auto questions = 0;
-    auto readInVain = 0;
+    auto shortPrompts = 0;
+    auto processedTooLate = 0;
     auto lateRefusals = 0;
     auto ends = std::multimap<Moment, AttemptId>();
     auto arrivals = std::map<AttemptId, AdmissionRequest>();
@@ -138,8 +138,8 @@
             if (std::uniform_real_distribution<>(0, 1)(random) > chance)
                 continue;
             const auto name = std::to_string(now.time_since_epoch().count()) + (kind == 0 ? "r" : "q");
-            auto request = kind == 0 ? ask(name, 9000, 800ms, 3s, now) : ask(name, 800, 600ms, 2400ms, now);
-            questions += kind;
+            auto request = kind == 0 ? requestOf(name, 9000, 800ms, 3s, now) : requestOf(name, 800, 600ms, 2400ms, now);
+            shortPrompts += kind;
             arrivals[request.attempt] = request;
             (void)queue.offer(request, always, {}, now);
         }
@@ -154,23 +154,23 @@
                 += granted.outputTokens == 50 && granted.promptTokens == 800 && engineFree <= granted.firstEventDeadline
                 ? 1
                 : 0;
-            readInVain += engineFree > granted.callerDeadline ? 1 : 0;
+            processedTooLate += engineFree > granted.callerDeadline ? 1 : 0;
         }
     }
-    BOOST_TEST(questions > 150);
-    BOOST_TEST(onTime > questions * 6 / 10);
-    BOOST_TEST(readInVain == 0);
+    BOOST_TEST(shortPrompts > 150);
+    BOOST_TEST(onTime > shortPrompts * 6 / 10);
+    BOOST_TEST(processedTooLate == 0);
     BOOST_TEST(lateRefusals == 0);
 }
 
-// Two adapters wait for a slot. The caller of one has waited longer and is late already; the other can be in time.
-BOOST_AUTO_TEST_CASE(adapters_of_who_can_be_on_time_are_loaded_first)
+// Two adapters wait for a slot. The request for one has waited longer and is already late; the other can be on time.
+BOOST_AUTO_TEST_CASE(adapters_of_requests_that_can_be_on_time_are_loaded_first)
 {
     auto queue = AdmissionQueue();
     const auto none = [](const AdapterId&) { return false; };
-    auto late = ask("late", 800, 600ms, 4s, Moment());
+    auto late = requestOf("late", 800, 600ms, 4s, Moment());
     late.adapter = AdapterId("late");
-    auto soon = ask("soon", 800, 600ms, 4s, Moment(500ms));
+    auto soon = requestOf("soon", 800, 600ms, 4s, Moment(500ms));
     soon.adapter = AdapterId("soon");
     (void)queue.offer(late, none, 250ms, Moment());
     (void)queue.offer(soon, none, 250ms, Moment(500ms));
@@ -181,16 +181,16 @@
     BOOST_TEST(wanted[1].late);
 }
 
-// A long prompt and a short one came together, both are late at the same moment, and neither has its adapter. The long
-// one needs the time: loaded first, both are on time; loaded second, it is late.
-BOOST_AUTO_TEST_CASE(the_adapter_of_what_takes_longer_to_read_is_loaded_first)
+// A long and a short prompt arrive together with the same deadline, and both adapters must be loaded. The long prompt
+// must start earlier: both are on time only if its adapter is loaded first.
+BOOST_AUTO_TEST_CASE(the_adapter_of_the_longer_prompt_is_loaded_first)
 {
     auto queue = AdmissionQueue();
     queue.setLimits({ .readRate = 40 });
     const auto none = [](const AdapterId&) { return false; };
-    auto quick = ask("short", 800, 800ms, 4s);
+    auto quick = requestOf("short", 800, 800ms, 4s);
     quick.adapter = AdapterId("a");
-    auto slow = ask("long", 16000, 800ms, 4s);
+    auto slow = requestOf("long", 16000, 800ms, 4s);
     slow.adapter = AdapterId("b");
     (void)queue.offer(quick, none, 250ms, {});
     (void)queue.offer(slow, none, 250ms, {});
--- a/tests/unit/RequestQueue.cpp
+++ b/tests/unit/RequestQueue.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// A burst fills the queue. What cannot start before its deadline is refused when it comes, with the time after which
-// it could have started, and not at its deadline.
+// A burst fills the queue. A request that cannot be answered before its deadline must be refused on arrival, with a
+// retry delay, and not at its deadline.
 BOOST_AUTO_TEST_CASE(a_request_that_cannot_start_in_time_is_refused_at_once)
 {
     auto queue = RequestQueue(256, batch);
@@ -41,14 +41,14 @@
             refused = std::get<Refused>(answer);
     }
     BOOST_REQUIRE(refused.has_value());
-    // Eight places, two seconds each: a place every 250 ms, so 8 s of waiting are 32 requests.
+    // Eight places of two seconds each free one place every 250 ms, so 8 s of waiting admit 32 requests.
     BOOST_TEST(accepted == 32);
     BOOST_TEST((refused->reason == Refused::Reason::TooLate));
     BOOST_TEST(refused->retryAfter.count() >= Duration(1s).count());
 }
 
-// One member asks for a hundred times as much as another. The other's requests must not wait behind all of them.
-BOOST_AUTO_TEST_CASE(members_share_the_places_whatever_they_ask_for)
+// One member sends many times as many requests as another, whose requests must not wait behind all of them.
+BOOST_AUTO_TEST_CASE(members_share_the_places_for_any_number_of_requests)
 {
     auto queue = RequestQueue(256, batch);
     for (auto number = 0; number < 100; ++number)
@@ -63,9 +63,8 @@
     BOOST_TEST(small == 3);
 }
 
-// Drafts fill every place but the one kept for interactive calls, while such calls come; and a draft that has waited
-// long starts all the same.
-BOOST_AUTO_TEST_CASE(drafts_leave_a_place_to_interactive_calls_and_age_out_of_waiting)
+// While interactive calls arrive, drafts fill all places but one; a draft that has waited long may take that one too.
+BOOST_AUTO_TEST_CASE(drafts_leave_a_place_to_interactive_calls_unless_they_waited_long)
 {
     auto queue = RequestQueue(256, batch);
     BOOST_TEST(admitted(queue.offer(request("chat", "m", "interactive", 0), everywhere, 0, at(0))));
@@ -79,17 +78,17 @@
     BOOST_TEST(queue.next(batch - 1, everywhere, at(30000)).has_value());
 }
 
-// With no interactive calls about, no place is kept: a surge of drafts fills the whole batch.
-BOOST_AUTO_TEST_CASE(drafts_alone_fill_the_whole_batch)
+// Without recent interactive calls no place is reserved, so drafts fill the whole batch.
+BOOST_AUTO_TEST_CASE(drafts_fill_the_whole_batch_without_interactive_calls)
 {
     auto queue = RequestQueue(256, batch);
     BOOST_TEST(admitted(queue.offer(request("draft", "m", "draft", 0), everywhere, 0, at(0))));
     BOOST_TEST(queue.next(batch - 1, everywhere, at(1)).has_value());
 }
 
-// Short calls whose adapter is there overtake those that wait for a load, and the load is ordered for the adapter that
-// most of them wait for.
-BOOST_AUTO_TEST_CASE(requests_whose_adapter_is_there_overtake_and_loads_follow_the_most_wanted)
+// Requests whose adapter is resident overtake those that wait for a load, and the adapter with the most waiting
+// requests is the first candidate for a load.
+BOOST_AUTO_TEST_CASE(requests_with_a_resident_adapter_overtake_and_the_most_wanted_is_loaded_first)
 {
     auto queue = RequestQueue(256, batch);
     const auto offer = [&](const char* id, const char* model) {
@@ -109,9 +108,9 @@
     BOOST_TEST(candidates.front().model.view() == "wanted");
 }
 
-// A request that waits for a load which does not come is told as soon as it cannot be answered in time any more, not
-// when its deadline has passed.
-BOOST_AUTO_TEST_CASE(a_waiting_request_is_given_up_when_it_can_no_longer_be_answered)
+// A request waits for a load that does not complete. It must be refused as soon as it can no longer be answered in
+// time, not when its deadline has passed.
+BOOST_AUTO_TEST_CASE(a_waiting_request_expires_when_it_can_no_longer_be_answered)
 {
     auto queue = RequestQueue(256, batch);
     queue.recordRunTime(RequestClass("interactive"), 2s);
--- a/tests/unit/SlotReplay.cpp
+++ b/tests/unit/SlotReplay.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-// One replica of seven slots. Each question brings an adapter that nobody else uses and keeps its slot for 2.4 s; four
-// a second are more than the slots can serve. A load takes 250 ms, a caller waits 2.3 s, and an answer that begins
+// One replica with seven slots. Each request uses an adapter of its own and occupies its slot for 2.4 s; four requests
+// per second are more than the slots can serve. A load takes 250 ms, a caller waits 2.3 s, and an answer that begins
 // within 600 ms is on time.
 constexpr auto slotCount = std::size_t(7);
 constexpr auto loadTime = Duration(250ms);
 constexpr auto runTime = Duration(2400ms);
-constexpr auto aim = Duration(600ms);
+constexpr auto firstEventLimit = Duration(600ms);
 constexpr auto patience = Duration(2300ms);
 constexpr auto perSecond = 4.0;
 constexpr auto step = Duration(10ms);
-constexpr auto length = Moment(60s);
+constexpr auto simulatedTime = Moment(60s);
 
 struct Outcome {
-    int asked = 0;
+    int requestCount = 0;
     int onTime = 0;
     int late = 0;
 };
 
-/// Which waiting adapter is loaded next; none when the slot is better left free.
+/// Selects the adapter that is loaded next; no value if the slot should stay free.
 using LoadOrder
     = std::function<std::optional<AdapterId>(const AdmissionQueue&, const AdmissionQueue::Ready&, std::size_t, Moment)>;
 
@@ -41,9 +41,9 @@
         queue_.setLimits({ .batch = 64, .memory = 250000, .readRate = 40 });
     }
 
-    auto play() -> Outcome
+    auto run() -> Outcome
     {
-        for (auto now = Moment(); now < length; now += step) {
+        for (auto now = Moment(); now < simulatedTime; now += step) {
             finish(now);
             arrive(now);
             load(now);
@@ -78,7 +78,7 @@
     {
         if (std::uniform_real_distribution<>(0, 1)(random_) > perSecond * std::chrono::duration<double>(step).count())
             return;
-        const auto name = "a" + std::to_string(outcome_.asked++);
+        const auto name = "a" + std::to_string(outcome_.requestCount++);
         slots_.asked(ModelName(name), now);
         (void)queue_.offer({ .attempt = AttemptId(name),
                                .adapter = AdapterId(name),
@@ -86,12 +86,12 @@
                                .unreadTokens = 800,
                                .outputTokens = 300,
                                .arrivedAt = now,
-                               .firstEventDeadline = now + aim,
+                               .firstEventDeadline = now + firstEventLimit,
                                .callerDeadline = now + patience },
             ready(), loadTime, now);
     }
 
-    [[nodiscard]] auto spare() const -> std::size_t
+    [[nodiscard]] auto spareSlots() const -> std::size_t
     {
         auto free = slotCount - loads_.size() - slots_.resident().size();
         for (const auto& model : slots_.resident())
@@ -101,7 +101,7 @@
 
     auto load(Moment now) -> void
     {
-        const auto next = order_(queue_, ready(), spare(), now);
+        const auto next = order_(queue_, ready(), spareSlots(), now);
         if (!next)
             return;
         const auto name = ModelName(next->str());
@@ -137,42 +137,43 @@
     Outcome outcome_;
 };
 
-/// Whatever has waited longest, the baseline.
+/// The baseline: loads the adapter that has waited longest.
 auto longestWait(const AdmissionQueue& queue, const AdmissionQueue::Ready& ready, std::size_t, Moment)
     -> std::optional<AdapterId>
 {
-    // Asked as of the beginning nothing is late yet, and the first to be late is the first that came.
+    // At the start of the simulation no request is late, so requests are ordered by deadline, which is their order of
+    // arrival.
     const auto wanted = queue.wanted(ready, {}, Moment());
     return wanted.empty() ? std::nullopt : std::optional(wanted.front().adapter);
 }
 
-auto asDecided(const AdmissionQueue& queue, const AdmissionQueue::Ready& ready, std::size_t spare, Moment now)
+auto byPolicy(const AdmissionQueue& queue, const AdmissionQueue::Ready& ready, std::size_t spareSlots, Moment now)
     -> std::optional<AdapterId>
 {
     const auto wanted = queue.wanted(ready, loadTime, now);
-    if (wanted.empty() || !mayTakeSlot(wanted.front(), spare))
+    if (wanted.empty() || !mayTakeSlot(wanted.front(), spareSlots))
         return std::nullopt;
     return wanted.front().adapter;
 }
 
 } // namespace
 
-// What callers see at the baseline: with a tenth more questions than slots, nearly every answer is late, since each
-// slot goes to the question that has waited longest and is late by then. Loaded first for those who can still be on
-// time, with a slot left to the next of them, most callers have their answer in time.
+// At the baseline, a tenth more requests than the slots can serve make nearly every answer late, since each slot goes
+// to the request that has waited longest and is late by then. Loading first for requests that can still be on time, and
+// keeping one slot free for the next of them, makes most answers on time.
 BOOST_AUTO_TEST_CASE(more_adapters_than_slots_leave_most_answers_on_time)
 {
-    const auto baseline = Replay(longestWait).play();
-    const auto decided = Replay(asDecided).play();
-    BOOST_TEST_MESSAGE("on time " << decided.onTime << " of " << decided.asked << ", late " << decided.late
+    const auto baseline = Replay(longestWait).run();
+    const auto policy = Replay(byPolicy).run();
+    BOOST_TEST_MESSAGE("on time " << policy.onTime << " of " << policy.requestCount << ", late " << policy.late
                                   << "; longest wait first: " << baseline.onTime << ", late " << baseline.late);
-    BOOST_TEST(decided.asked == baseline.asked);
-    BOOST_TEST(decided.onTime > 2 * baseline.onTime);
-    BOOST_TEST(decided.onTime * 10 > decided.asked * 6);
+    BOOST_TEST(policy.requestCount == baseline.requestCount);
+    BOOST_TEST(policy.onTime > 2 * baseline.onTime);
+    BOOST_TEST(policy.onTime * 10 > policy.requestCount * 6);
 }
 
-// Two adapters wait for the last slot: one for a caller who would hear too late, one for a caller in time.
-BOOST_AUTO_TEST_CASE(the_last_free_slot_is_kept_for_who_can_be_on_time)
+// Two adapters compete for the last slot: one for a request that is late in any case, one for a request on time.
+BOOST_AUTO_TEST_CASE(the_last_free_slot_is_reserved_for_requests_on_time)
 {
     BOOST_TEST(mayTakeSlot({ AdapterId("a"), false }, 0));
     BOOST_TEST(mayTakeSlot({ AdapterId("a"), false }, 1));
