--- a/bench/decisions/Driver.cpp
+++ b/bench/decisions/Driver.cpp
@@ -82,7 +82,7 @@
 auto Driver::arrive(Work work) -> void
 {
     if (work.tried.empty())
-        retries_.firstTry(work.request->member);
+        retries_.recordFirstAttempt(work.request->member);
     const auto chosen = place(entries_[random_() % entryCount], work);
     if (!chosen)
         return refuse(work);
@@ -194,7 +194,7 @@
     for (const auto& candidate : target.requests.loadCandidates(resident(target), now_)) {
         const auto answer = target.slots->request(candidate.model, now_, candidate.member);
         if (std::holds_alternative<decisions::LoadNow>(answer) || std::holds_alternative<decisions::EvictFirst>(answer))
-            return loadQueue_.ask({ target.id, candidate.weight, candidate.oldestAt });
+            return loadQueue_.enqueue({ target.id, candidate.weight, candidate.oldestAt });
     }
 }
 
--- a/packages/decisions/CircuitBreaker.h
+++ b/packages/decisions/CircuitBreaker.h
@@ -6,18 +6,19 @@
 
 namespace eelgrass::decisions {
 
-/// How well a replica answers, by what became of the last requests, whoever sent them.
+/// Circuit breaker of one replica, based on the outcomes of the latest requests of all entries.
 ///
-/// Load made for: a replica that goes down and up by turns, or fails a part of its requests, while its own report and
-/// health check look well.
-/// Harm prevented: every entry finding out by itself, with two lost requests each, at each turn. Kept at the one place
-/// that all entries ask, the first failures turn all of them elsewhere.
+/// Expected load: a replica that goes down and up repeatedly, or fails some of its requests, while its own report and
+/// health check show no problem.
+/// Prevents: each entry detecting the failure by itself, at the cost of two lost requests each time. The breaker is
+/// kept at the one process that all entries ask, so the first failures divert all of them.
 ///
-/// Two answers. `failureShare` is a figure to compare with other replicas: where all of them fail alike, as when the
-/// requests are the cause, none is worse than another and none may rest. Requests that break off one after another
-/// speak for themselves: after three of them the replica rests, and then one request tries at a time, after a rest that
-/// grows while the tries fail, so that a replica that flaps comes back slowly. Only what was sent after the rest speaks
-/// for it: a stream that began before may still end well on a replica that takes nothing new.
+/// `failureShare` serves for comparison with other replicas. If all replicas fail alike, for example because the
+/// requests are the cause, none is worse than another, and failures alone never open the breaker. Broken connections
+/// do: after three in succession the breaker opens, and after a pause it admits one probe request at a time. The pause
+/// grows while probes fail, so that a replica which goes down repeatedly returns slowly. Only requests sent after the
+/// pause close the breaker, since a stream that started earlier may still end well on a replica that accepts no new
+/// requests.
 ///
 /// ```cpp
 /// if (breaker.allows(now)) { send(request); breaker.requestSent(); }
@@ -25,36 +26,36 @@
 /// ```
 class CircuitBreaker {
 public:
-    [[nodiscard]] auto allows(Moment now) const noexcept -> bool { return !open_ || (now >= openUntil_ && !trying_); }
-    /// Whether requests are held back now or go one at a time.
+    [[nodiscard]] auto allows(Moment now) const noexcept -> bool { return !open_ || (now >= openUntil_ && !probing_); }
+    /// Whether the breaker is open, so that requests are rejected or admitted one at a time.
     [[nodiscard]] auto open() const noexcept -> bool { return open_; }
     [[nodiscard]] auto openUntil() const noexcept -> Moment { return openUntil_; }
-    /// The share of the last requests that failed or broke off, from 0 to 1; forgotten with time.
+    /// The share of the latest requests that failed or whose connection broke, from 0 to 1; decays with time.
     [[nodiscard]] auto failureShare(Moment now) const noexcept -> double;
 
-    /// A request was sent.
-    auto requestSent() noexcept -> void { trying_ = open_; }
-    /// A request that was sent at `sentAt` began to answer.
+    /// Records that a request was sent.
+    auto requestSent() noexcept -> void { probing_ = open_; }
+    /// Records that a request sent at `sentAt` received the start of its answer.
     auto succeeded(Moment sentAt, Moment now) noexcept -> void;
-    /// The replica answered with a failure of its own.
+    /// Records that the replica answered with an error of its own.
     auto failed(Moment now) noexcept -> void;
-    /// The connection broke before an answer.
+    /// Records that the connection broke before an answer.
     auto connectionBroke(Moment now) noexcept -> void;
-    /// A request ended and says nothing, as when its caller left.
+    /// Records that a request ended without showing the replica's state, for example because its caller left.
     auto endedWithoutResult(Moment sentAt) noexcept -> void;
 
 private:
-    auto count(double failure, Moment now) noexcept -> void;
+    auto recordOutcome(double failure, Moment now) noexcept -> void;
 
     bool open_ = false;
-    bool trying_ = false;
-    std::uint32_t breaks_ = 0;
-    std::uint32_t rests_ = 0;
+    bool probing_ = false;
+    std::uint32_t consecutiveBreaks_ = 0;
+    std::uint32_t openings_ = 0;
     Moment openUntil_ {};
-    Moment brokeAt_ {};
-    /// As of `countedAt_`.
-    double share_ = 0;
-    Moment countedAt_ {};
+    Moment lastBreakAt_ {};
+    /// Share of failures as of `updatedAt_`.
+    double failureShare_ = 0;
+    Moment updatedAt_ {};
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/LoadConcurrency.h
+++ b/packages/decisions/LoadConcurrency.h
@@ -6,38 +6,39 @@
 
 namespace eelgrass::decisions {
 
-/// How many adapters one replica fetches at a time, by how long the last ones took.
+/// Limits how many adapters one replica fetches at a time, depending on how long its latest fetches took.
 ///
-/// Load made for: every replica empty at once after a loss of power, and many rare adapters wanted at the same moment.
-/// Harm prevented: the weight store divides what it gives among all loads, so that with four from each replica all of
-/// them arrive late together. One after another, most requests have theirs in time, and as many arrive in all.
-/// What only late requests wait for is fetched one at a time: on a shared store each such load is a wait for somebody
-/// who could have been on time.
-/// Nobody counts the loads of all replicas; each goes back to one when its own took too long, and adds one for each
-/// that did not, as senders on a shared line do. What a replica has at hand comes without the store and says nothing of
-/// it.
+/// Expected load: all replicas empty at once after a power loss, and many rare adapters requested at the same time.
+/// Prevents: the weight store divides its bandwidth among all loads, so that with four loads from each replica all of
+/// them arrive late. With fewer loads at a time most requests get their adapters in time, and as many arrive in total.
+/// Adapters that only late requests wait for are fetched one at a time: since the store is shared, each such load
+/// delays a request that could have been on time.
+/// No process counts the loads of all replicas. Each replica falls back to one load at a time after a slow load and
+/// allows one more after each fast one, similar to congestion control. Loads from host memory do not use the store and
+/// are not recorded.
 ///
 /// ```cpp
-/// if (coming < pace.limit(wanted.late)) order(load);
-/// pace.ended(now - orderedAt);
+/// if (loading < concurrency.limit(wanted.late)) order(load);
+/// concurrency.ended(now - orderedAt);
 /// ```
 class LoadConcurrency {
 public:
+    /// Number of loads that may be in progress; `late` if only late requests wait for the adapter.
     [[nodiscard]] auto limit(bool late = false) const noexcept -> std::size_t { return late ? 1 : limit_; }
-    /// A load from the weight store is over.
+    /// Records a finished load from the weight store and its duration.
     auto ended(Duration took) noexcept -> void
     {
-        if (took > crowded)
+        if (took > congestedDuration)
             limit_ = 1;
-        else if (limit_ < most)
+        else if (limit_ < maxLimit)
             ++limit_;
     }
 
 private:
-    // What an engine takes at a time.
-    static constexpr auto most = std::size_t(4);
-    // A load alone takes 250 to 300 ms by the users' figures.
-    static constexpr auto crowded = Duration(450ms);
+    // The number of loads that an engine accepts at a time.
+    static constexpr auto maxLimit = std::size_t(4);
+    // Duration above which the store is considered congested; a single load takes 250 to 300 ms by the users' figures.
+    static constexpr auto congestedDuration = Duration(450ms);
 
     std::size_t limit_ = 1;
 };
--- a/packages/decisions/LoadQueue.cpp
+++ b/packages/decisions/LoadQueue.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Counts for something from its first moment, so that many fresh waiters go before one.
-constexpr auto leastAge = Duration(200ms);
+// Added to every age, so that new requests have a nonzero priority and many of them go before a single one.
+constexpr auto baseAge = Duration(200ms);
 
 } // namespace
 
 auto loadPriority(double weight, Moment oldestAt, Moment now) -> double
 {
-    const auto age = std::chrono::duration<double>(std::max(now - oldestAt, Duration::zero()) + leastAge).count();
+    const auto age = std::chrono::duration<double>(std::max(now - oldestAt, Duration::zero()) + baseAge).count();
     return weight * age * age;
 }
 
-auto LoadQueue::ask(LoadRequest ask) -> void { asks_[ask.target] = ask; }
+auto LoadQueue::enqueue(LoadRequest request) -> void { requests_[request.target] = request; }
 
 auto LoadQueue::release(const TargetId& target) -> void
 {
@@ -27,34 +27,34 @@
 
 auto LoadQueue::grants(Moment now) -> std::vector<TargetId>
 {
-    // A target that died with its turn must not stop the loads of all others.
-    if (grant_ && grant_->endsAt <= now)
+    // A target that was lost while it held the grant must not block the loads of all others.
+    if (grant_ && grant_->expiresAt <= now)
         grant_.reset();
-    if (grant_ || asks_.empty())
+    if (grant_ || requests_.empty())
         return {};
-    const auto best = std::max_element(asks_.begin(), asks_.end(), [&](const auto& a, const auto& b) {
+    const auto best = std::max_element(requests_.begin(), requests_.end(), [&](const auto& a, const auto& b) {
         return loadPriority(a.second.weight, a.second.oldestAt, now)
             < loadPriority(b.second.weight, b.second.oldestAt, now);
     });
     const auto target = best->first;
-    asks_.erase(best);
-    grant_ = Grant { target, now + grantLasts };
+    requests_.erase(best);
+    grant_ = Grant { target, now + grantDuration };
     return { target };
 }
 
 auto LoadQueue::grantExpiresAt() const -> std::optional<Moment>
 {
-    return grant_ ? std::optional(grant_->endsAt) : std::nullopt;
+    return grant_ ? std::optional(grant_->expiresAt) : std::nullopt;
 }
 
 auto LoadRateLimiter::take(Moment now) -> bool
 {
-    const auto passed = std::chrono::duration<double>(now - at_).count();
-    saved_ = std::min(atOnce, saved_ + passed * perSecond_);
-    at_ = now;
-    if (saved_ < 1)
+    const auto passed = std::chrono::duration<double>(now - refilledAt_).count();
+    tokens_ = std::min(burst, tokens_ + passed * perSecond_);
+    refilledAt_ = now;
+    if (tokens_ < 1)
         return false;
-    saved_ -= 1;
+    tokens_ -= 1;
     return true;
 }
 
--- a/packages/decisions/LoadQueue.h
+++ b/packages/decisions/LoadQueue.h
@@ -9,59 +9,60 @@
 
 namespace eelgrass::decisions {
 
-/// What a target would load next, for whom.
+/// The load that a target wants to perform next.
 struct LoadRequest {
     TargetId target;
-    /// Weights of the classes of all requests that wait for this adapter, added up.
+    /// Sum of the class weights of all requests that wait for the adapter.
     double weight = 0;
-    /// Arrival of the one that waits longest.
+    /// Arrival of the request that has waited longest.
     Moment oldestAt {};
 };
 
-/// Worth of a load: the weights of those who wait, times the square of the longest wait. Squared, because with the
-/// plain age a lone draft waited several times as long as the median caller.
+/// Priority of a load: the weight of the waiting requests multiplied by the square of the longest wait. With a linear
+/// age, a single draft waited several times as long as the median request.
 [[nodiscard]] auto loadPriority(double weight, Moment oldestAt, Moment now) -> double;
 
-/// The order of loads from one weight store, as the entry that holds the queue decides it.
+/// Orders the loads from one weight store. One entry holds the queue for all targets.
 ///
-/// Load made for: many targets that miss at once, while the store runs only one load at full speed.
-/// Harm prevented: loads that slow each other down, and many callers who wait behind a load for one.
-/// Limits: one load at a time, because a second makes both slower; a grant ends by itself, so that a lost target or
-/// answer stops the others for no longer than four loads. The queue is advisory: held twice, loads are slower, not
-/// wrong.
+/// Expected load: many targets with a missing adapter at once, while the store serves only one load at full speed.
+/// Prevents: loads that slow each other down, and many callers waiting behind a load for a single one.
+/// Reason for the limits: one load at a time, because a second one makes both slower. A grant expires, so that a lost
+/// target or answer blocks the other targets for no longer than four loads take. The queue is advisory: if two entries
+/// hold one at the same time, loads are slower but still correct.
 ///
 /// ```cpp
-/// queue.ask({ target, weight, oldest });
+/// queue.enqueue({ target, weight, oldest });
 /// for (const auto& target : queue.grants(now)) ...
 /// ```
 class LoadQueue {
 public:
-    static constexpr auto grantLasts = Duration(2s);
+    static constexpr auto grantDuration = Duration(2s);
 
-    /// Puts or replaces the ask of a target; each has one.
-    auto ask(LoadRequest ask) -> void;
-    auto withdraw(const TargetId& target) -> void { asks_.erase(target); }
-    /// The load of a granted turn ended, well or not.
+    /// Adds the load request of a target, or replaces its previous one.
+    auto enqueue(LoadRequest request) -> void;
+    auto withdraw(const TargetId& target) -> void { requests_.erase(target); }
+    /// Ends the grant of the target after its load succeeded or failed.
     auto release(const TargetId& target) -> void;
-    /// Targets whose turn has come; each is told once.
+    /// Returns the targets that may load now; each grant is returned once.
     [[nodiscard]] auto grants(Moment now) -> std::vector<TargetId>;
-    [[nodiscard]] auto waiting() const noexcept -> std::size_t { return asks_.size(); }
-    /// When an unreleased grant ends by itself; empty when none is out.
+    [[nodiscard]] auto waiting() const noexcept -> std::size_t { return requests_.size(); }
+    /// When the current grant expires; no value if there is none.
     [[nodiscard]] auto grantExpiresAt() const -> std::optional<Moment>;
 
 private:
     struct Grant {
         TargetId target;
-        Moment endsAt {};
+        Moment expiresAt {};
     };
-    std::map<TargetId, LoadRequest> asks_;
+    std::map<TargetId, LoadRequest> requests_;
     std::optional<Grant> grant_;
 };
 
-/// Paces the loads of one target while no load queue can be reached: its share of what the store gives to all.
+/// Limits the loads of one target to its share of the weight store's rate while no load queue can be reached.
 ///
-/// Load made for: an outage of entries during a burst. Two loads may follow each other at once, since most outages are
-/// short and most targets idle; after that the share holds, so that all targets together stay within the store's rate.
+/// Expected load: an outage of entries during a burst. Two loads may follow each other at once, since most outages are
+/// short and most targets are idle; further loads are limited to the share, so that all targets together stay within
+/// the store's rate.
 class LoadRateLimiter {
 public:
     LoadRateLimiter(double loadsPerSecond, std::size_t targets) noexcept
@@ -69,14 +70,14 @@
     {
     }
 
-    /// Whether a load may start now; counts it when it may.
+    /// Whether a load may start now. Counts the load if it may.
     [[nodiscard]] auto take(Moment now) -> bool;
 
 private:
-    static constexpr auto atOnce = 2.0;
+    static constexpr auto burst = 2.0;
     double perSecond_;
-    double saved_ = atOnce;
-    Moment at_ {};
+    double tokens_ = burst;
+    Moment refilledAt_ {};
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/Quarantine.cpp
+++ b/packages/decisions/Quarantine.cpp
@@ -4,11 +4,11 @@
 
 namespace eelgrass::decisions {
 
-auto Quarantine::raise(const std::string& digest, std::uint32_t crashes) -> void
+auto Quarantine::raiseTo(const std::string& digest, std::uint32_t crashes) -> void
 {
-    const auto [entry, fresh] = crashes_.try_emplace(digest, 0);
+    const auto [entry, added] = crashes_.try_emplace(digest, 0);
     entry->second = std::max(entry->second, crashes);
-    if (!fresh)
+    if (!added)
         return;
     order_.push_back(digest);
     if (order_.size() <= capacity)
@@ -19,15 +19,15 @@
 
 auto Quarantine::crashed(const std::string& digest, std::uint32_t before) -> std::uint32_t
 {
-    raise(digest, before + 1);
+    raiseTo(digest, before + 1);
     return crashes(digest);
 }
 
-auto Quarantine::learn(const std::string& digest, std::uint32_t crashes) -> void { raise(digest, crashes); }
+auto Quarantine::learn(const std::string& digest, std::uint32_t crashes) -> void { raiseTo(digest, crashes); }
 
 auto Quarantine::succeeded(const std::string& digest) -> void
 {
-    // A culprit stays one, whatever an attempt begun before it was known came to.
+    // A refused request stays refused, even if an attempt that started earlier succeeds.
     if (refused(digest) || crashes_.erase(digest) == 0)
         return;
     std::erase(order_, digest);
--- a/packages/decisions/Quarantine.h
+++ b/packages/decisions/Quarantine.h
@@ -9,37 +9,38 @@
 
 namespace eelgrass::decisions {
 
-/// Which requests were running when engines died, by their digest (member, adapter and body).
+/// Counts engine crashes by the digest (of member, adapter and body) of the requests that were running.
 ///
-/// Load made for: a request that crashes every engine that runs it, sent again and again. After the first crash it is a
-/// suspect and runs alone; if it then takes a second engine down it is the culprit, and is refused. An innocent request
-/// that ran beside it is cleared by its own success.
+/// Expected load: a request that crashes every engine that runs it and is sent repeatedly.
+/// After its first crash a request is suspected and runs alone. If an engine crashes again while it runs, it is
+/// refused. Other requests that were running during a crash are cleared when they succeed.
 ///
 /// ```cpp
 /// if (quarantine.crashed(digest, before) >= Quarantine::limit) ...
 /// ```
 class Quarantine {
 public:
-    /// Crashes after which a request is refused: one may be bad luck beside another, the second came alone.
+    /// Crashes after which a request is refused. The first crash may have been caused by a concurrent request; at the
+    /// second one the request ran alone.
     static constexpr auto limit = std::uint32_t(2);
 
-    /// Counts the crash of an attempt that was started when the count was `before`; the count as it then is. Crashes of
-    /// attempts that ran at the same time count as one, since none of them ran as a known suspect.
+    /// Counts the crash of an attempt that was started when the count was `before`, and returns the new count. Crashes
+    /// of concurrent attempts count as one, because none of them ran as a known suspect.
     auto crashed(const std::string& digest, std::uint32_t before) -> std::uint32_t;
-    /// Takes over what another process counted.
+    /// Applies the count of another process, if it is higher.
     auto learn(const std::string& digest, std::uint32_t crashes) -> void;
-    /// The request ran to its end.
+    /// Clears the request after it ran to completion, unless it is already refused.
     auto succeeded(const std::string& digest) -> void;
 
     [[nodiscard]] auto crashes(const std::string& digest) const -> std::uint32_t;
     [[nodiscard]] auto refused(const std::string& digest) const -> bool { return crashes(digest) >= limit; }
-    /// Digests that crashed an engine and are not cleared.
+    /// The digests that have not been cleared, and their counts.
     [[nodiscard]] auto known() const -> const std::map<std::string, std::uint32_t>& { return crashes_; }
 
 private:
-    // Digests remembered: an engine's death makes one batch of suspects, so this holds a hundred deaths.
+    // Number of digests kept. A crash adds the digests of one batch, so this covers about a hundred crashes.
     static constexpr auto capacity = std::size_t(1000);
-    auto raise(const std::string& digest, std::uint32_t crashes) -> void;
+    auto raiseTo(const std::string& digest, std::uint32_t crashes) -> void;
 
     std::map<std::string, std::uint32_t> crashes_;
     std::deque<std::string> order_;
--- a/packages/decisions/QuotaBucket.cpp
+++ b/packages/decisions/QuotaBucket.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr auto longestWait = 10.0;
+constexpr auto maxRetrySeconds = 10.0;
 
 auto secondsOf(Duration time) noexcept -> double { return std::chrono::duration<double>(time).count(); }
 
@@ -14,11 +14,12 @@
 
 auto QuotaBucket::refill(Moment now) noexcept -> void
 {
-    // A bucket that has just begun to count is empty: what was granted before, by others, is not known here.
-    const auto credit = at_ == Moment() ? 0 : rate_.perSecond * secondsOf(std::max(now - at_, Duration(0)));
-    at_ = std::max(at_, now);
+    // A new bucket starts empty, because the amounts that others granted before are unknown.
+    const auto credit
+        = refilledAt_ == Moment() ? 0 : rate_.perSecond * secondsOf(std::max(now - refilledAt_, Duration(0)));
+    refilledAt_ = std::max(refilledAt_, now);
     level_ = std::min(level_ + credit, rate_.burst);
-    told_ = std::max(told_ - credit, 0.0);
+    pendingRetries_ = std::max(pendingRetries_ - credit, 0.0);
 }
 
 auto QuotaBucket::setRate(const QuotaRate& rate, Moment now) noexcept -> void
@@ -37,8 +38,9 @@
         level_ -= amount;
         return { .granted = true };
     }
-    const auto wait = rate_.perSecond > 0 ? std::min((missing + told_) / rate_.perSecond, longestWait) : longestWait;
-    told_ = std::min(told_ + amount, longestWait * rate_.perSecond);
+    const auto wait = rate_.perSecond > 0 ? std::min((missing + pendingRetries_) / rate_.perSecond, maxRetrySeconds)
+                                          : maxRetrySeconds;
+    pendingRetries_ = std::min(pendingRetries_ + amount, maxRetrySeconds * rate_.perSecond);
     return { .retryAfter = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait)) };
 }
 
--- a/packages/decisions/QuotaBucket.h
+++ b/packages/decisions/QuotaBucket.h
@@ -4,23 +4,24 @@
 
 namespace eelgrass::decisions {
 
-/// A member's limit, in units that its requests count.
+/// A member's limit, in the units in which its requests are counted.
 struct QuotaRate {
     double perSecond = 0;
-    /// Beside, at once.
+    /// Units that may be used at once in addition to the rate.
     double burst = 0;
-    /// By how much the limit may be passed for a moment: entries that lose sight of each other, or of those that count,
-    /// for a moment must not refuse what is below it.
+    /// Units by which the limit may be exceeded temporarily, so that entries which briefly lose contact to each other,
+    /// or to the agents that count, do not refuse requests below the limit.
     double lenience = 0;
 };
 
-/// Counts what one member was granted, against its limit.
+/// Token bucket that limits what one member is granted.
 ///
-/// Load made for: a member that sends many times its limit beside others, through many entries.
-/// Harm prevented: replicas taken up by what nobody has a right to. A request is granted while the level is not below
-/// `-lenience`, and takes the level down by what it counts; so one that is larger than the burst is granted as well,
-/// and paid for by those behind it. Who is refused is told when its turn comes behind those who were refused before, or
-/// all of them would come back at the same moment.
+/// Expected load: a member that sends many times its limit through many entries, while other members send too.
+/// Prevents: replicas occupied by requests beyond the member's limit.
+/// A request is granted if its amount, capped at `burst + lenience`, does not take the level below `-lenience`. The
+/// full amount is deducted, so a request larger than the burst can be granted and delays the requests after it. The
+/// retry delay of a refused request accounts for the requests refused before it; otherwise all of them would be sent
+/// again at the same moment.
 ///
 /// ```cpp
 /// const auto verdict = bucket.take(tokens, now);
@@ -29,15 +30,15 @@
 public:
     struct Verdict {
         bool granted = false;
-        /// When there will be credit, if it was not granted.
+        /// Time until there will be credit, if the request was not granted.
         Duration retryAfter {};
     };
 
     auto setRate(const QuotaRate& rate, Moment now) noexcept -> void;
     [[nodiscard]] auto take(double amount, Moment now) noexcept -> Verdict;
-    /// Granted elsewhere; given back where it is negative.
+    /// Deducts an amount that was granted elsewhere; a negative amount is a refund.
     auto charge(double amount, Moment now) noexcept -> void;
-    /// Whoever else counts has no more than that left.
+    /// Lowers the level to that of another bucket which counts for the same member.
     auto capLevel(double level, Moment now) noexcept -> void;
     [[nodiscard]] auto level(Moment now) noexcept -> double;
 
@@ -46,9 +47,10 @@
 
     QuotaRate rate_;
     double level_ = 0;
-    /// What was refused and told to come back, and has not had its turn.
-    double told_ = 0;
-    Moment at_ {};
+    /// Amount of the refused requests whose retry delay has not passed.
+    double pendingRetries_ = 0;
+    /// When the level was last updated.
+    Moment refilledAt_ {};
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/RetryBudget.h
+++ b/packages/decisions/RetryBudget.h
@@ -10,57 +10,61 @@
 
 namespace eelgrass::decisions {
 
-/// Second and third tries of a member's requests, as a share of its first tries.
+/// Limits the retries of a member's requests to a share of its first attempts.
 ///
-/// Load made for: targets that fail or refuse while all of them are busy.
-/// Harm prevented: retries that multiply the load which caused them, and a member whose failures use up what others
-/// could retry. A tenth lets single failures pass unseen and adds no more than a tenth when everything fails; a few
-/// tries are saved up so that a member with few calls can retry at all.
+/// Expected load: targets that fail or refuse requests while all of them are busy.
+/// Prevents: retries that multiply the load which caused them, and one member's failures using up the retries of
+/// others.
+/// Reason for the limits: a share of a tenth hides single failures from callers and adds at most a tenth to the load
+/// when all requests fail. A small initial credit lets a member with few requests retry at all.
 ///
 /// ```cpp
-/// budget.firstTry(member);
+/// budget.recordFirstAttempt(member);
 /// if (tries < RetryBudget::maxTargets && budget.take(member)) ...
 /// ```
 class RetryBudget {
 public:
-    /// Targets for one request; a third refusal tells that the fleet is busy, not one target.
+    /// Number of targets tried for one request; a third refusal shows that the fleet is busy, not just one target.
     static constexpr auto maxTargets = std::size_t(3);
 
-    auto firstTry(const MemberId& member) -> void
+    auto recordFirstAttempt(const MemberId& member) -> void
     {
-        auto& saved = savedOf(member);
-        saved = std::min(mostSaved, saved + share);
+        auto& credit = creditOf(member);
+        credit = std::min(maxCredit, credit + creditPerAttempt);
     }
 
-    /// Whether one more try may be made; counts it when it may.
+    /// Whether the request may be retried. Counts the retry if it may.
     [[nodiscard]] auto take(const MemberId& member) -> bool
     {
-        auto& saved = savedOf(member);
-        if (saved < 1)
+        auto& credit = creditOf(member);
+        if (credit < 1)
             return false;
-        saved -= 1;
+        credit -= 1;
         return true;
     }
 
-    /// Wait before try `number` (1 for the first retry): full jitter, so that requests that failed together do not
-    /// come back together.
+    /// Exponential backoff before retry `number` (starting at 1), with full jitter so that requests that failed
+    /// together are not retried together.
     template <std::uniform_random_bit_generator Random>
-    [[nodiscard]] static auto wait(std::size_t number, Random& random) -> Duration
+    [[nodiscard]] static auto backoff(std::size_t number, Random& random) -> Duration
     {
-        const auto most = std::min(longestWait, shortestWait * (Duration::rep(1) << std::min(number, std::size_t(6))));
-        return Duration(std::uniform_int_distribution<Duration::rep>(0, most.count())(random));
+        const auto upperBound = std::min(maxWait, minWait * (Duration::rep(1) << std::min(number, std::size_t(6))));
+        return Duration(std::uniform_int_distribution<Duration::rep>(0, upperBound.count())(random));
     }
 
 private:
-    static constexpr auto share = 0.1;
-    static constexpr auto mostSaved = 10.0;
-    static constexpr auto savedAtFirst = 3.0;
-    static constexpr auto shortestWait = Duration(25ms);
-    static constexpr auto longestWait = Duration(1s);
+    static constexpr auto creditPerAttempt = 0.1;
+    static constexpr auto maxCredit = 10.0;
+    static constexpr auto initialCredit = 3.0;
+    static constexpr auto minWait = Duration(25ms);
+    static constexpr auto maxWait = Duration(1s);
 
-    auto savedOf(const MemberId& member) -> double& { return saved_.try_emplace(member, savedAtFirst).first->second; }
+    auto creditOf(const MemberId& member) -> double&
+    {
+        return credit_.try_emplace(member, initialCredit).first->second;
+    }
 
-    std::map<MemberId, double> saved_;
+    std::map<MemberId, double> credit_;
 };
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/SharedRetryBudget.h
+++ b/packages/decisions/SharedRetryBudget.h
@@ -8,22 +8,22 @@
 
 namespace eelgrass::decisions {
 
-/// How often all entries together may send a request of one service a second time. The figures come from the settings;
-/// these are the ones of a small deployment.
+/// Limits of the retries that all entries together may send for one service. The values come from the settings; the
+/// defaults fit a small deployment.
 struct RetryBounds {
-    /// Repeats for each first send.
+    /// Retries per first attempt.
     double ratio = 0.2;
-    /// Repeats allowed beside, in one window.
+    /// Additional retries per window.
     double slack = 50;
     Duration window = 10s;
 };
 
 /// One entry's share of the retry budget of one service, over a sliding window.
 ///
-/// Load made for: replicas that refuse, crash or break off while many entries retry at once.
-/// Harm prevented: entries that do not know of each other spending the common budget several times over. Each may use
-/// the ratio of its own first sends and an equal part of the slack; a tenth is left unused, since the windows of two
-/// entries do not end at the same moment.
+/// Expected load: replicas that refuse requests, crash or close connections while many entries retry at once.
+/// Prevents: entries that do not know of each other exceeding the common budget several times over.
+/// Each entry may use the ratio of its own first attempts and an equal part of the slack. A tenth is left unused,
+/// because the windows of different entries do not end at the same moment.
 ///
 /// ```cpp
 /// budget.sent(now);
@@ -36,38 +36,38 @@
     {
     }
 
-    /// A request was sent for the first time.
-    auto sent(Moment now) -> void { add(firsts_, now); }
-    /// Whether one more repeat may be sent now; counts it when it may.
+    /// Records the first attempt of a request.
+    auto sent(Moment now) -> void { add(firstAttempts_, now); }
+    /// Whether one more retry may be sent now. Counts the retry if it may.
     [[nodiscard]] auto take(Moment now, std::size_t entries) -> bool
     {
-        drop(repeats_, now);
-        drop(firsts_, now);
+        removeExpired(retries_, now);
+        removeExpired(firstAttempts_, now);
         const auto share = bounds_.slack / static_cast<double>(std::max<std::size_t>(entries, 1));
-        const auto allowed = unused * (bounds_.ratio * static_cast<double>(firsts_.size()) + share);
-        if (static_cast<double>(repeats_.size()) + 1 > allowed)
+        const auto allowed = usableShare * (bounds_.ratio * static_cast<double>(firstAttempts_.size()) + share);
+        if (static_cast<double>(retries_.size()) + 1 > allowed)
             return false;
-        add(repeats_, now);
+        add(retries_, now);
         return true;
     }
 
 private:
-    static constexpr auto unused = 0.9;
+    static constexpr auto usableShare = 0.9;
 
     auto add(std::deque<Moment>& moments, Moment now) -> void
     {
-        drop(moments, now);
+        removeExpired(moments, now);
         moments.push_back(now);
     }
-    auto drop(std::deque<Moment>& moments, Moment now) const -> void
+    auto removeExpired(std::deque<Moment>& moments, Moment now) const -> void
     {
         while (!moments.empty() && moments.front() + bounds_.window < now)
             moments.pop_front();
     }
 
     RetryBounds bounds_;
-    std::deque<Moment> firsts_;
-    std::deque<Moment> repeats_;
+    std::deque<Moment> firstAttempts_;
+    std::deque<Moment> retries_;
 };
 
 } // namespace eelgrass::decisions
--- a/packages/router/controllers/LoadQueueController.cpp
+++ b/packages/router/controllers/LoadQueueController.cpp
@@ -9,7 +9,7 @@
     if (waiting)
         waiting->fulfill(false);
     waiting = kj::mv(pair.fulfiller);
-    queue_.ask(ask);
+    queue_.enqueue(ask);
     grant();
     return kj::mv(pair.promise);
 }
--- a/tests/unit/CircuitBreaker.cpp
+++ b/tests/unit/CircuitBreaker.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Sends one request every 30 ms, as many entries together do, to a replica that is down for a second and up for a
-/// second and a half by turns; how many were lost.
-template <typename Allows, typename Answered> auto lostWhileFlapping(Allows allows, Answered answered) -> int
+/// Sends one request every 30 ms, as many entries together do, to a replica that alternates between one second down and
+/// one and a half seconds up. Returns the number of lost requests.
+template <typename Allows, typename Answered> auto lostWhileAlternating(Allows allows, Answered answered) -> int
 {
     auto lost = 0;
     for (auto now = Moment(); now < Moment(10s); now += 30ms) {
@@ -25,12 +25,12 @@
 
 } // namespace
 
-// What callers see: each request that is sent while the replica is down is lost, since nobody can say whether it ran.
-// The replica's own report looks well all the while. Held back after three, most callers are served elsewhere.
-BOOST_AUTO_TEST_CASE(a_replica_that_flaps_loses_few_requests)
+// Each request sent while the replica is down is lost, because it is unknown whether it ran, and the replica's own
+// report shows no problem. With requests held back after three losses, most callers are served by other replicas.
+BOOST_AUTO_TEST_CASE(a_replica_that_goes_down_repeatedly_loses_few_requests)
 {
     auto breaker = CircuitBreaker();
-    const auto lost = lostWhileFlapping([&](Moment now) { return breaker.allows(now); },
+    const auto lost = lostWhileAlternating([&](Moment now) { return breaker.allows(now); },
         [&](bool well, Moment now) {
             breaker.requestSent();
             if (well)
@@ -38,14 +38,14 @@
             else
                 breaker.connectionBroke(now);
         });
-    const auto baseline = lostWhileFlapping([](Moment) { return true; }, [](bool, Moment) {});
+    const auto baseline = lostWhileAlternating([](Moment) { return true; }, [](bool, Moment) {});
     BOOST_TEST_MESSAGE("lost " << lost << " of " << baseline);
     BOOST_TEST(lost * 5 < baseline);
 }
 
-// Every replica answers two requests in five with a failure: the requests, or something behind all of them, are the
-// cause. Nobody rests, or nobody would be served at all.
-BOOST_AUTO_TEST_CASE(failures_alone_rest_nobody)
+// Every replica answers two requests in five with an error, because of the requests or of a shared dependency. No
+// breaker may open, or no request would be served at all.
+BOOST_AUTO_TEST_CASE(errors_alone_do_not_open_the_breaker)
 {
     auto breaker = CircuitBreaker();
     for (auto count = 0; count < 100; ++count) {
@@ -60,7 +60,7 @@
     BOOST_TEST(breaker.failureShare(Moment(5s)) > 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(a_single_break_rests_nobody_and_is_forgotten)
+BOOST_AUTO_TEST_CASE(a_single_broken_connection_does_not_open_the_breaker)
 {
     auto breaker = CircuitBreaker();
     breaker.connectionBroke(Moment(1s));
@@ -69,32 +69,33 @@
     BOOST_TEST(breaker.failureShare(Moment(11s)) < 0.01);
 }
 
-// After a rest one request tries. A stream from before the rest that ends well says nothing of new ones.
-BOOST_AUTO_TEST_CASE(one_request_tries_after_a_rest)
+// After the pause one probe request is admitted. A stream from before the pause that ends well does not close the
+// breaker.
+BOOST_AUTO_TEST_CASE(one_probe_is_admitted_after_the_pause)
 {
     auto breaker = CircuitBreaker();
     for (auto count = 0; count < 3; ++count)
         breaker.connectionBroke(Moment(1s));
     BOOST_TEST(!breaker.allows(Moment(1s)));
-    const auto after = breaker.openUntil();
-    breaker.succeeded(Moment(900ms), after);
+    const auto reopenedAt = breaker.openUntil();
+    breaker.succeeded(Moment(900ms), reopenedAt);
     BOOST_TEST(breaker.open());
-    BOOST_TEST(breaker.allows(after));
+    BOOST_TEST(breaker.allows(reopenedAt));
     breaker.requestSent();
-    BOOST_TEST(!breaker.allows(after + 1ms));
-    breaker.succeeded(after, after + 100ms);
-    BOOST_TEST(breaker.allows(after + 100ms));
+    BOOST_TEST(!breaker.allows(reopenedAt + 1ms));
+    breaker.succeeded(reopenedAt, reopenedAt + 100ms);
+    BOOST_TEST(breaker.allows(reopenedAt + 100ms));
     BOOST_TEST(!breaker.open());
 }
 
-// The request that tries is given up by its caller: another one may try.
-BOOST_AUTO_TEST_CASE(a_try_that_says_nothing_makes_room_for_the_next)
+// The caller of the probe request leaves: another probe is admitted.
+BOOST_AUTO_TEST_CASE(a_probe_without_result_allows_the_next)
 {
     auto breaker = CircuitBreaker();
     for (auto count = 0; count < 3; ++count)
         breaker.connectionBroke(Moment(1s));
-    const auto after = breaker.openUntil();
+    const auto reopenedAt = breaker.openUntil();
     breaker.requestSent();
-    breaker.endedWithoutResult(after);
-    BOOST_TEST(breaker.allows(after + 1ms));
+    breaker.endedWithoutResult(reopenedAt);
+    BOOST_TEST(breaker.allows(reopenedAt + 1ms));
 }
--- a/tests/unit/LoadConcurrency.cpp
+++ b/tests/unit/LoadConcurrency.cpp
@@ -11,43 +11,43 @@
 namespace {
 
 constexpr auto replicas = std::size_t(9);
-constexpr auto wantedByEach = 6;
-// The weight store carries eight loads at full speed and divides itself among more.
-constexpr auto atFullSpeed = 8.0;
-constexpr auto alone = 250.0;
+constexpr auto wantedPerReplica = 6;
+// The weight store serves eight loads at full speed and divides its bandwidth among more.
+constexpr auto loadsAtFullSpeed = 8.0;
+constexpr auto loadDuration = 250.0;
 
-/// Nine empty replicas that want six adapters each; `limitOf` says how many one of them fetches at a time. Returns how
-/// many adapters were there after half a second.
-auto arrivedInTime(bool paced) -> int
+/// Simulates nine empty replicas that want six adapters each. `limited` limits the loads of each replica by
+/// `LoadConcurrency`; otherwise each fetches four at a time. Returns how many adapters arrive within half a second.
+auto arrivedInTime(bool limited) -> int
 {
     struct Load {
         std::size_t replica = 0;
-        double left = alone;
+        double left = loadDuration;
         double began = 0;
     };
     auto loads = std::vector<Load>();
     auto left = std::array<int, replicas>();
-    auto coming = std::array<std::size_t, replicas>();
-    auto paces = std::array<LoadConcurrency, replicas>();
-    left.fill(wantedByEach);
+    auto loadsInProgress = std::array<std::size_t, replicas>();
+    auto limits = std::array<LoadConcurrency, replicas>();
+    left.fill(wantedPerReplica);
     auto arrived = 0;
     for (auto now = 0.0; now < 500; now += 5) {
         for (auto index = std::size_t(0); index < replicas; ++index) {
-            const auto limit = paced ? paces[index].limit() : std::size_t(4);
-            while (left[index] > 0 && coming[index] < limit) {
+            const auto limit = limited ? limits[index].limit() : std::size_t(4);
+            while (left[index] > 0 && loadsInProgress[index] < limit) {
                 --left[index];
-                ++coming[index];
+                ++loadsInProgress[index];
                 loads.push_back({ .replica = index, .began = now });
             }
         }
-        const auto speed = std::min(1.0, atFullSpeed / static_cast<double>(loads.size()));
+        const auto speed = std::min(1.0, loadsAtFullSpeed / static_cast<double>(loads.size()));
         for (auto& load : loads) {
             load.left -= 5 * speed;
             if (load.left > 0)
                 continue;
             ++arrived;
-            --coming[load.replica];
-            paces[load.replica].ended(
+            --loadsInProgress[load.replica];
+            limits[load.replica].ended(
                 std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(now - load.began)));
         }
         std::erase_if(loads, [](const Load& load) { return load.left <= 0; });
@@ -57,24 +57,24 @@
 
 } // namespace
 
-// All replicas are empty after a loss of power. With four loads from each, none has arrived when the first callers are
-// late; with one from each at first, nine have.
+// All replicas are empty after a power loss. With four loads from each replica, no load completes within half a second;
+// with one from each at first, nine do.
 BOOST_AUTO_TEST_CASE(loads_of_empty_replicas_do_not_all_arrive_late)
 {
     BOOST_TEST(arrivedInTime(false) == 0);
     BOOST_TEST(arrivedInTime(true) >= 9);
 }
 
-BOOST_AUTO_TEST_CASE(a_load_that_took_long_leaves_one_at_a_time)
+BOOST_AUTO_TEST_CASE(a_slow_load_reduces_the_limit_to_one)
 {
-    auto pace = LoadConcurrency();
-    pace.ended(250ms);
-    pace.ended(25ms);
-    pace.ended(250ms);
-    BOOST_TEST(pace.limit() == 4U);
-    BOOST_TEST(pace.limit(true) == 1U);
-    pace.ended(900ms);
-    BOOST_TEST(pace.limit() == 1U);
-    pace.ended(250ms);
-    BOOST_TEST(pace.limit() == 2U);
+    auto concurrency = LoadConcurrency();
+    concurrency.ended(250ms);
+    concurrency.ended(25ms);
+    concurrency.ended(250ms);
+    BOOST_TEST(concurrency.limit() == 4U);
+    BOOST_TEST(concurrency.limit(true) == 1U);
+    concurrency.ended(900ms);
+    BOOST_TEST(concurrency.limit() == 1U);
+    concurrency.ended(250ms);
+    BOOST_TEST(concurrency.limit() == 2U);
 }
--- a/tests/unit/LoadQueue.cpp
+++ b/tests/unit/LoadQueue.cpp
@@ -12,13 +12,13 @@
 
 } // namespace
 
-// Many callers wait at one target, one at another who asked first.
-// In order of arrival the many would wait behind the one. One load runs at a time; the many go first.
+// Many callers wait at one target, and a single caller at another target that requested its load earlier. One load runs
+// at a time, and in order of arrival the many would wait behind the single one; the load for the many must go first.
 BOOST_AUTO_TEST_CASE(the_load_that_most_callers_wait_for_goes_first)
 {
     auto queue = LoadQueue();
-    queue.ask({ target("one"), 4, at(0) });
-    queue.ask({ target("many"), 40, at(10) });
+    queue.enqueue({ target("one"), 4, at(0) });
+    queue.enqueue({ target("many"), 40, at(10) });
     const auto first = queue.grants(at(20));
     BOOST_REQUIRE(first.size() == 1);
     BOOST_TEST(first.front().str() == "many");
@@ -29,14 +29,15 @@
     BOOST_TEST(second.front().str() == "one");
 }
 
-// One caller waits while others with more weight keep coming; its age must bring it its turn.
-BOOST_AUTO_TEST_CASE(a_caller_that_waits_long_gets_its_turn)
+// Guards against starvation: one caller waits while load requests with a higher weight keep arriving. Its priority must
+// grow with its age until its load is granted.
+BOOST_AUTO_TEST_CASE(a_load_that_has_waited_long_is_granted)
 {
     auto queue = LoadQueue();
-    queue.ask({ target("patient"), 1, at(0) });
+    queue.enqueue({ target("patient"), 1, at(0) });
     auto turns = 0;
     for (auto now = 0; queue.waiting() > 0 && now < 60000; now += 500) {
-        queue.ask({ target("busy"), 8, at(now - 500) });
+        queue.enqueue({ target("busy"), 8, at(now - 500) });
         const auto granted = queue.grants(at(now)).front();
         queue.release(granted);
         ++turns;
@@ -46,25 +47,25 @@
     BOOST_TEST(turns < 20);
 }
 
-// A target dies with its turn and never releases it. The others must not wait for ever.
-BOOST_AUTO_TEST_CASE(a_turn_that_is_never_released_ends_by_itself)
+// A target is lost while it holds the grant and never releases it. The other targets must not wait forever.
+BOOST_AUTO_TEST_CASE(a_grant_that_is_never_released_expires)
 {
     auto queue = LoadQueue();
-    queue.ask({ target("dead"), 9, at(0) });
+    queue.enqueue({ target("dead"), 9, at(0) });
     BOOST_TEST(queue.grants(at(0)).size() == 1);
-    queue.ask({ target("live"), 1, at(0) });
+    queue.enqueue({ target("live"), 1, at(0) });
     BOOST_TEST(queue.grants(at(1999)).empty());
     BOOST_TEST(queue.grants(at(2000)).size() == 1);
 }
 
-// No queue can be reached. Nine targets together must stay within the two loads a second of the store.
-BOOST_AUTO_TEST_CASE(without_a_queue_the_loads_of_all_targets_stay_within_the_rate)
+// No load queue can be reached. Nine targets together must stay within the store's rate of two loads per second.
+BOOST_AUTO_TEST_CASE(without_a_queue_all_targets_stay_within_the_store_rate)
 {
     auto loads = 0;
-    auto pacers = std::vector<LoadRateLimiter>(9, LoadRateLimiter(2, 9));
+    auto limiters = std::vector<LoadRateLimiter>(9, LoadRateLimiter(2, 9));
     for (auto now = 0; now < 90000; now += 100) {
-        for (auto& pacer : pacers)
-            loads += pacer.take(at(now)) ? 1 : 0;
+        for (auto& limiter : limiters)
+            loads += limiter.take(at(now)) ? 1 : 0;
     }
     BOOST_TEST(loads <= 2 * 90 + 2 * 9);
     BOOST_TEST(loads > 2 * 80);
--- a/tests/unit/QuotaBucket.cpp
+++ b/tests/unit/QuotaBucket.cpp
@@ -1,4 +1,4 @@
-// What a member is granted against its limit.
+// Tests of the token bucket that limits what a member is granted.
 #include "decisions/QuotaBucket.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,14 +17,14 @@
 constexpr auto rate = QuotaRate { .perSecond = 30000, .burst = 30000, .lenience = 40000 };
 constexpr auto window = Duration(8s);
 
-auto filled(const QuotaRate& limits) -> QuotaBucket
+auto fullBucket(const QuotaRate& limits) -> QuotaBucket
 {
     auto bucket = QuotaBucket();
     bucket.setRate(limits, start - 100s);
     return bucket;
 }
 
-/// The most that was granted in any window.
+/// Tracks the largest amount granted within any period of `window`.
 class Windows {
 public:
     auto granted(double amount, Moment now) -> void
@@ -47,18 +47,18 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(below_the_limit_everything_is_granted)
+BOOST_AUTO_TEST_CASE(all_requests_below_the_limit_are_granted)
 {
-    auto bucket = filled(rate);
+    auto bucket = fullBucket(rate);
     for (auto count = 0; count < 300; ++count)
         BOOST_TEST(bucket.take(9000, start + count * 333ms).granted);
 }
 
-// Others have to wait for replicas that one member takes up.
-// 1. A member sends sixteen times its limit. 2. It gets its limit, a burst and what the limit may be passed by.
+// Guards against one member occupying the replicas that others wait for. A member that sends many times its limit gets
+// the limit, the burst and the lenience.
 BOOST_AUTO_TEST_CASE(a_member_far_over_its_limit_gets_its_limit)
 {
-    auto bucket = filled(rate);
+    auto bucket = fullBucket(rate);
     auto windows = Windows();
     for (auto count = 0; count < 16 * 200; ++count) {
         const auto at = start + count * 18ms;
@@ -69,20 +69,20 @@
     BOOST_TEST(windows.most() >= 8 * rate.perSecond - 9000);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_larger_than_the_burst_is_granted_and_paid_for)
+BOOST_AUTO_TEST_CASE(a_request_larger_than_the_burst_is_granted_and_delays_the_next)
 {
-    auto bucket = filled({ .perSecond = 100, .burst = 50, .lenience = 0 });
+    auto bucket = fullBucket({ .perSecond = 100, .burst = 50, .lenience = 0 });
     BOOST_TEST(bucket.take(400, start).granted);
     BOOST_TEST(!bucket.take(1, start + 3s).granted);
     BOOST_TEST(bucket.take(1, start + 4s).granted);
 }
 
-// Everybody who was refused comes back at the same moment, and all but one are refused again.
-// 1. Ten requests are refused at once. 2. Each is told a time behind those before it, a request's worth of credit
-// apart.
-BOOST_AUTO_TEST_CASE(the_refused_come_back_one_after_another)
+// Guards against refused requests that are all sent again at the same moment, when all but one are refused again. Each
+// of several refused requests gets a retry delay that is longer than the previous one by the time in which the credit
+// for one request accrues.
+BOOST_AUTO_TEST_CASE(refused_requests_get_staggered_retry_delays)
 {
-    auto bucket = filled({ .perSecond = 100, .burst = 100, .lenience = 0 });
+    auto bucket = fullBucket({ .perSecond = 100, .burst = 100, .lenience = 0 });
     BOOST_REQUIRE(bucket.take(100, start).granted);
     auto last = Duration(0);
     for (auto count = 0; count < 9; ++count) {
@@ -93,9 +93,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(what_did_not_run_is_given_back)
+BOOST_AUTO_TEST_CASE(a_negative_charge_is_a_refund_up_to_the_burst)
 {
-    auto bucket = filled({ .perSecond = 100, .burst = 100, .lenience = 0 });
+    auto bucket = fullBucket({ .perSecond = 100, .burst = 100, .lenience = 0 });
     BOOST_TEST(bucket.take(100, start).granted);
     bucket.charge(-100, start);
     BOOST_TEST(bucket.take(100, start).granted);
@@ -103,32 +103,32 @@
     BOOST_TEST(bucket.level(start) <= 100);
 }
 
-BOOST_AUTO_TEST_CASE(a_lower_limit_takes_what_was_saved)
+BOOST_AUTO_TEST_CASE(a_lower_limit_reduces_the_level)
 {
-    auto bucket = filled(rate);
+    auto bucket = fullBucket(rate);
     bucket.setRate({ .perSecond = 100, .burst = 100, .lenience = 0 }, start);
     BOOST_TEST(bucket.level(start) == 100);
 }
 
-// A member gets its limit once from each agent that counts for it.
-// 1. The agent that counts is gone. 2. The next one was told of each grant, and goes on from there. 3. It is gone too,
-// and one counts that knows nothing: its bucket is empty.
-BOOST_AUTO_TEST_CASE(who_counts_next_goes_on_from_there)
+// Guards against a member getting its limit anew from each agent that takes over its count. When the counting agent is
+// lost, the next one has been told of each grant and continues at its level; an agent that knows no grants starts with
+// an empty bucket.
+BOOST_AUTO_TEST_CASE(the_next_counting_agent_continues_at_the_same_level)
 {
     auto windows = Windows();
-    auto boards = std::vector<QuotaBucket>(8, QuotaBucket());
-    for (auto& board : boards)
-        board.setRate(rate, start - 1ms);
+    auto buckets = std::vector<QuotaBucket>(8, QuotaBucket());
+    for (auto& bucket : buckets)
+        bucket.setRate(rate, start - 1ms);
     for (auto count = 0; count < 2000; ++count) {
         const auto at = start + count * 18ms;
-        const auto first = static_cast<std::size_t>(count / 150) % boards.size();
-        auto& second = boards[(first + 1) % boards.size()];
-        if (!boards[first].take(9000, at).granted)
+        const auto first = static_cast<std::size_t>(count / 150) % buckets.size();
+        auto& second = buckets[(first + 1) % buckets.size()];
+        if (!buckets[first].take(9000, at).granted)
             continue;
         windows.granted(9000, at);
         second.charge(9000, at);
-        second.capLevel(boards[first].level(at), at);
+        second.capLevel(buckets[first].level(at), at);
     }
-    // Within 8 s the count moves three times.
+    // The count moves to another agent three times within 8 s.
     BOOST_TEST(windows.most() <= 8 * rate.perSecond * 1.1 + rate.burst * 1.1 + 110000);
 }
