--- a/tests/unit/ReplicaChoice.cpp
+++ b/tests/unit/ReplicaChoice.cpp
@@ -356,11 +356,11 @@
             view.spareSlots = 14;
         auto query = need();
         query.adapter = adapter;
-        const auto favourite = chooseReplica(views, query).value();
-        views[favourite].loadsWaiting = 12;
-        BOOST_TEST(chooseReplica(views, query).value() != favourite);
+        const auto preferred = chooseReplica(views, query).value();
+        views[preferred].loadsWaiting = 12;
+        BOOST_TEST(chooseReplica(views, query).value() != preferred);
         query.waitingLoadCost = Duration(0);
-        BOOST_TEST(chooseReplica(views, query).value() == favourite);
+        BOOST_TEST(chooseReplica(views, query).value() == preferred);
     }
 }
 
