--- a/packages/router/entry/AnswerWriter.cpp
+++ b/packages/router/entry/AnswerWriter.cpp
@@ -5,10 +5,10 @@
 namespace {
 
 constexpr auto commentPeriod = Duration(2s);
-// Bytes that may wait for a caller that reads slowly, before the source is made to wait.
-constexpr auto backlogLimit = std::size_t(64) << 10U;
+// Bytes that may wait for a caller that reads slowly before the target has to wait.
+constexpr auto sendBufferLimit = std::size_t(64) << 10U;
 
-auto seconds(std::chrono::milliseconds delay) -> std::string
+auto wholeSeconds(std::chrono::milliseconds delay) -> std::string
 {
     return std::to_string(std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::seconds>(delay).count()));
 }
@@ -26,7 +26,7 @@
 {
     exchange->setHeader("X-Request-Id", request.str());
     if (error.retryAfter())
-        exchange->setHeader("Retry-After", seconds(*error.retryAfter()));
+        exchange->setHeader("Retry-After", wholeSeconds(*error.retryAfter()));
     exchange->respond(error.status(), "application/json",
         errorJson(request, error).dump(-1, ' ', false, Json::error_handler_t::replace));
 }
@@ -36,13 +36,13 @@
     , call_(std::move(call))
 {
     call_->exchange->setHeader("X-Request-Id", call_->requestId.str());
-    call_->exchange->onDrained([this] { drained(); });
+    call_->exchange->onDrained([this] { onDrained(); });
     if (call_->stream)
-        commentTimer_ = loop_.timers().every(commentPeriod, [this] { comment(); });
-    nameModel();
+        commentTimer_ = loop_.timers().every(commentPeriod, [this] { sendCommentIfIdle(); });
+    updateModel();
 }
 
-auto AnswerWriter::nameModel() -> void
+auto AnswerWriter::updateModel() -> void
 {
     if (call_->kind == AttemptRequest::Kind::Service)
         return;
@@ -52,74 +52,74 @@
     auto head
         = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion.chunk" : "text_completion" },
               { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) } };
-    prefix_ = head.dump();
-    prefix_.pop_back();
+    eventPrefix_ = head.dump();
+    eventPrefix_.pop_back();
 }
 
-// The exchange outlives the writer until its last bytes are sent.
+// The exchange can outlive the writer, until its last bytes are sent.
 AnswerWriter::~AnswerWriter() { call_->exchange->onDrained({}); }
 
-auto AnswerWriter::drained() -> void
+auto AnswerWriter::onDrained() -> void
 {
-    if (call_->exchange->backlog() >= backlogLimit)
+    if (call_->exchange->backlog() >= sendBufferLimit)
         return;
-    auto waiting = kj::mv(waiting_);
-    for (auto& fulfiller : waiting)
+    auto waiters = kj::mv(writableWaiters_);
+    for (auto& fulfiller : waiters)
         fulfiller->fulfill();
 }
 
-auto AnswerWriter::begin() -> void
+auto AnswerWriter::beginResponse() -> void
 {
-    if (begun_)
+    if (responseBegun_)
         return;
-    begun_ = true;
+    responseBegun_ = true;
     const auto service = call_->kind == AttemptRequest::Kind::Service;
     call_->exchange->begin(status_, service ? contentType_ : "text/event-stream");
 }
 
-auto AnswerWriter::comment() -> void
+auto AnswerWriter::sendCommentIfIdle() -> void
 {
-    if (std::exchange(spoke_, false))
+    if (std::exchange(sentSinceComment_, false))
         return;
-    begin();
-    call_->exchange->send(": " + note_ + "\n\n");
+    beginResponse();
+    call_->exchange->send(": " + progressNote_ + "\n\n");
 }
 
-auto AnswerWriter::head(int status, std::string contentType) -> void
+auto AnswerWriter::setHead(int status, std::string contentType) -> void
 {
     status_ = status;
     if (!contentType.empty())
         contentType_ = std::move(contentType);
 }
 
-auto AnswerWriter::event(std::string_view text, const std::string& finishReason) -> std::string
+auto AnswerWriter::eventText(std::string_view text, const std::string& finishReason) -> std::string
 {
     const auto chat = call_->kind == AttemptRequest::Kind::Chat;
     auto escaped = Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
-    auto out = "data: " + prefix_ + R"(,"choices":[{"index":0,)";
+    auto out = "data: " + eventPrefix_ + R"(,"choices":[{"index":0,)";
     out += chat ? R"("delta":{"content":)" + escaped + "}" : R"("text":)" + escaped;
     out += R"(,"finish_reason":)" + (finishReason.empty() ? "null" : '"' + finishReason + '"') + "}]}\n\n";
     return out;
 }
 
-auto AnswerWriter::text(std::string_view text, std::uint32_t tokens) -> void
+auto AnswerWriter::appendText(std::string_view text, std::uint32_t tokens) -> void
 {
     if (!firstTokenAt_)
         firstTokenAt_ = loop_.timers().now();
-    tokens_ += tokens;
+    tokensWritten_ += tokens;
     if (call_->kind == AttemptRequest::Kind::Service) {
-        begin();
+        beginResponse();
         call_->exchange->send(text);
         return;
     }
     if (!call_->stream) {
-        gathered_ += text;
+        wholeText_ += text;
         return;
     }
-    spoke_ = true;
-    note_ = "generating";
-    begin();
-    call_->exchange->send(event(text, ""));
+    sentSinceComment_ = true;
+    progressNote_ = "generating";
+    beginResponse();
+    call_->exchange->send(eventText(text, ""));
 }
 
 auto AnswerWriter::wholeBody(const AnswerEnd& end) const -> std::string
@@ -127,40 +127,40 @@
     const auto chat = call_->kind == AttemptRequest::Kind::Chat;
     auto choice = Json { { "index", 0 }, { "finish_reason", end.finishReason } };
     if (chat)
-        choice["message"] = { { "role", "assistant" }, { "content", gathered_ } };
+        choice["message"] = { { "role", "assistant" }, { "content", wholeText_ } };
     else
-        choice["text"] = gathered_;
+        choice["text"] = wholeText_;
     auto body = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion" : "text_completion" },
         { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) },
-        { "choices", Json::array({ choice }) }, { "usage", { { "completion_tokens", tokens_ } } } };
+        { "choices", Json::array({ choice }) }, { "usage", { { "completion_tokens", tokensWritten_ } } } };
     return body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-auto AnswerWriter::end(const AnswerEnd& end) -> void
+auto AnswerWriter::finish(const AnswerEnd& end) -> void
 {
     commentTimer_ = {};
     if (end.error)
-        return refuse(*end.error);
+        return finishWithError(*end.error);
     auto& exchange = *call_->exchange;
     if (call_->kind == AttemptRequest::Kind::Service) {
-        begin();
+        beginResponse();
         return exchange.finish();
     }
     if (!call_->stream)
         return exchange.respond(200, "application/json", wholeBody(end));
-    begin();
-    exchange.send(event("", end.finishReason) + "data: [DONE]\n\n");
+    beginResponse();
+    exchange.send(eventText("", end.finishReason) + "data: [DONE]\n\n");
     exchange.finish();
 }
 
-auto AnswerWriter::refuse(const Error& error) -> void
+auto AnswerWriter::finishWithError(const Error& error) -> void
 {
     commentTimer_ = {};
     auto& exchange = *call_->exchange;
-    if (!begun_)
+    if (!responseBegun_)
         return writeError(call_->exchange, call_->requestId, error);
-    // A service's bytes have no place for an error: the connection is broken, so that the caller sees that more was
-    // due.
+    // The body of a service's answer cannot carry an error. Closing the connection shows the caller that the answer is
+    // incomplete.
     if (call_->kind == AttemptRequest::Kind::Service)
         return exchange.abort();
     exchange.send("event: error\ndata: "
@@ -168,12 +168,12 @@
     exchange.finish();
 }
 
-auto AnswerWriter::writable() -> kj::Promise<void>
+auto AnswerWriter::whenWritable() -> kj::Promise<void>
 {
-    if (call_->exchange->over() || call_->exchange->backlog() < backlogLimit)
+    if (call_->exchange->over() || call_->exchange->backlog() < sendBufferLimit)
         return kj::READY_NOW;
     auto pair = kj::newPromiseAndFulfiller<void>();
-    waiting_.add(kj::mv(pair.fulfiller));
+    writableWaiters_.add(kj::mv(pair.fulfiller));
     return kj::mv(pair.promise);
 }
 
--- a/packages/router/entry/AnswerWriter.h
+++ b/packages/router/entry/AnswerWriter.h
@@ -11,10 +11,10 @@
 
 namespace eelgrass::router {
 
-/// Writes an answer to its caller: streamed or whole, as completion, chat or a service's own bytes.
+/// Writes an answer to its caller: as a stream or in one body, for a completion, a chat or a plain service.
 ///
-/// A streamed answer is never silent: while nothing comes, a comment line says what is waited for. It ends with
-/// `[DONE]` or with an error event.
+/// While no text arrives for a streamed answer, comment lines tell the caller what the request waits for. A stream ends
+/// with `[DONE]` or with an error event.
 class AnswerWriter {
 public:
     AnswerWriter(wire::MainLoop& loop, CallPtr call);
@@ -22,49 +22,59 @@
     AnswerWriter(const AnswerWriter&) = delete;
     auto operator=(const AnswerWriter&) -> AnswerWriter& = delete;
 
-    /// To be called when the call's model changed, as for an answer that another call started.
-    auto nameModel() -> void;
-    /// What the caller waits for, told in the next comment line.
-    auto progress(std::string note) -> void { note_ = std::move(note); }
-    /// Status and type of a service's answer, before its bytes.
-    auto head(int status, std::string contentType) -> void;
-    auto text(std::string_view text, std::uint32_t tokens) -> void;
-    auto end(const AnswerEnd& end) -> void;
-    auto refuse(const Error& error) -> void;
+    /// Must be called after the call's model changed, for instance to that of an attempt that another call started.
+    auto updateModel() -> void;
+    /// Sets what the request waits for, as the next comment line reports it.
+    auto setProgress(std::string note) -> void { progressNote_ = std::move(note); }
+    /// Sets status and content type of a service's answer; to be called before its first bytes.
+    auto setHead(int status, std::string contentType) -> void;
+    /// Writes a part of the answer, or collects it for an answer in one body.
+    auto appendText(std::string_view text, std::uint32_t tokens) -> void;
+    /// Ends the answer, with an error if `end` has one.
+    auto finish(const AnswerEnd& end) -> void;
+    /// Ends the answer with an error. If a service's answer has begun, the connection is closed instead.
+    auto finishWithError(const Error& error) -> void;
 
-    /// Text that the caller has, or will have in a whole answer.
-    [[nodiscard]] auto written() const noexcept -> std::uint32_t { return tokens_; }
+    /// Tokens of text that were sent, or collected for an answer in one body.
+    [[nodiscard]] auto tokensWritten() const noexcept -> std::uint32_t { return tokensWritten_; }
     [[nodiscard]] auto firstTokenAt() const noexcept -> std::optional<Moment> { return firstTokenAt_; }
-    /// Kept when the caller has taken so much that more may be sent.
-    [[nodiscard]] auto writable() -> kj::Promise<void>;
+    /// Resolves when fewer bytes wait for the caller than the limit of the send buffer.
+    [[nodiscard]] auto whenWritable() -> kj::Promise<void>;
 
 private:
-    auto begin() -> void;
-    auto comment() -> void;
-    auto drained() -> void;
-    auto event(std::string_view text, const std::string& finishReason) -> std::string;
+    /// Sends status and headers, once.
+    auto beginResponse() -> void;
+    /// Sends a comment line if nothing was sent since the last call.
+    auto sendCommentIfIdle() -> void;
+    /// Resolves the promises of whenWritable() if the send buffer is below its limit.
+    auto onDrained() -> void;
+    /// One event of a streamed answer.
+    auto eventText(std::string_view text, const std::string& finishReason) -> std::string;
     [[nodiscard]] auto wholeBody(const AnswerEnd& end) const -> std::string;
 
     wire::MainLoop& loop_;
     CallPtr call_;
-    std::string prefix_;
-    std::string gathered_;
-    std::string note_ = "queued";
+    /// Start of each event's JSON, up to the choices.
+    std::string eventPrefix_;
+    /// Text collected for an answer in one body.
+    std::string wholeText_;
+    std::string progressNote_ = "queued";
     int status_ = 200;
     std::string contentType_ = "application/json";
-    std::uint32_t tokens_ = 0;
-    bool begun_ = false;
+    std::uint32_t tokensWritten_ = 0;
+    bool responseBegun_ = false;
     std::optional<Moment> firstTokenAt_;
     Timer commentTimer_;
-    /// Whether anything was sent since the last look.
-    bool spoke_ = false;
-    /// Several chunks may wait at once: a target does not wait for the first before it sends the second.
-    kj::Vector<kj::Own<kj::PromiseFulfiller<void>>> waiting_;
+    /// Whether an event was sent since the comment timer last fired.
+    bool sentSinceComment_ = false;
+    /// Promises of whenWritable(). There can be several, since a target sends chunks without waiting for earlier ones
+    /// to be acknowledged.
+    kj::Vector<kj::Own<kj::PromiseFulfiller<void>>> writableWaiters_;
 };
 
-/// Answers a request with an error as the interface describes it: status, `Retry-After`, and JSON.
+/// Answers a request with an error: status, `Retry-After` if the error has one, and the JSON of errorJson().
 auto writeError(const wire::HttpExchangePtr& exchange, const RequestId& request, const Error& error) -> void;
-/// The JSON of an error.
+/// The JSON body of an error response.
 [[nodiscard]] auto errorJson(const RequestId& request, const Error& error) -> Json;
 
 } // namespace eelgrass::router
--- a/packages/router/entry/OperatorApi.cpp
+++ b/packages/router/entry/OperatorApi.cpp
@@ -15,11 +15,13 @@
 constexpr auto adapterPrefix = std::string_view("adapters/");
 constexpr auto targetPrefix = std::string_view("targets/");
 constexpr auto drainSuffix = std::string_view("/drain");
-// A drain names no version: the target is to be drained whatever else changed meanwhile. So many operators at once do
-// not outrun it for ever.
-constexpr auto drainTries = 5;
+// A drain request names no configuration version, since it applies whatever else has changed. It is submitted again
+// when another change came first. With this many tries, concurrent changes by other operators do not keep it from
+// succeeding.
+constexpr auto maxDrainTries = 5;
 
-auto baseVersion(const std::string& ifMatch) -> std::optional<ConfigVersion>
+/// The version in an `If-Match` header, with or without quotes.
+auto parseIfMatch(const std::string& ifMatch) -> std::optional<ConfigVersion>
 {
     auto text = std::string_view(ifMatch);
     if (text.size() >= 2 && text.front() == '"' && text.back() == '"')
@@ -32,18 +34,18 @@
     return ConfigVersion(number);
 }
 
-/// The name in `targets/NAME/drain`.
-auto targetOf(const std::string& path) -> std::string
+/// The name in a path `targets/NAME/drain`.
+auto targetFromPath(const std::string& path) -> std::string
 {
     return path.substr(targetPrefix.size(), path.size() - targetPrefix.size() - drainSuffix.size());
 }
 
-auto milliseconds(Duration time) -> std::int64_t
+auto toMilliseconds(Duration time) -> std::int64_t
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-auto viewJson(const decisions::TargetView& view, bool drained) -> Json
+auto targetJson(const decisions::TargetView& view, bool drained) -> Json
 {
     auto resident = Json::array();
     for (const auto& model : view.resident)
@@ -57,8 +59,8 @@
 {
     const auto reason = drained ? std::string_view("drained") : toString(candidate.reason);
     return { { "target", candidate.target.str() }, { "reason", reason },
-        { "expected_start_ms", milliseconds(candidate.expectedStart) },
-        { "load_cost_ms", milliseconds(candidate.loadCost) }, { "slowness", candidate.slowness } };
+        { "expected_start_ms", toMilliseconds(candidate.expectedStart) },
+        { "load_cost_ms", toMilliseconds(candidate.loadCost) }, { "slowness", candidate.slowness } };
 }
 
 } // namespace
@@ -73,12 +75,12 @@
 {
 }
 
-auto OperatorApi::operatorOf(const wire::HttpExchangePtr& exchange) const -> const std::string*
+auto OperatorApi::findOperator(const wire::HttpExchangePtr& exchange) const -> const std::string*
 {
     const auto header = exchange->header("Authorization");
     if (!header.starts_with(bearer))
         return nullptr;
-    // The digest is what is looked up, so that the time of the search tells nothing of the key.
+    // Keys are looked up by digest, so that the duration of the lookup reveals nothing about a key.
     const auto found = settings_.operatorsByKeyDigest.find(sha256Hex(header.substr(bearer.size())));
     return found == settings_.operatorsByKeyDigest.end() ? nullptr : &found->second;
 }
@@ -86,7 +88,7 @@
 auto OperatorApi::serve(const wire::HttpExchangePtr& exchange) -> void
 {
     const auto id = RequestId(randomHex(requestIdBytes));
-    const auto* name = operatorOf(exchange);
+    const auto* name = findOperator(exchange);
     if (!name)
         return writeError(
             exchange, id, Error(Step::Authenticate, 401, "invalid_key", "the operator's key is missing or unknown"));
@@ -102,40 +104,40 @@
     const auto method = request.exchange->method();
     const auto& path = request.path;
     const auto get = method == "GET";
-    const auto drains = path.starts_with(targetPrefix) && path.ends_with(drainSuffix);
+    const auto isDrain = path.starts_with(targetPrefix) && path.ends_with(drainSuffix);
     if (path == "config" && get)
-        config(request);
+        sendConfig(request);
     else if (path == "config" && method == "PATCH")
-        patch(request);
+        submitPatch(request);
     else if (path == "config/history" && get)
-        history(request);
+        sendHistory(request);
     else if (path == "status" && get)
-        status(request);
+        sendStatus(request);
     else if (path == "explain" && get)
-        explain(request);
+        sendExplanation(request);
     else if (path.starts_with(adapterPrefix) && get)
-        adapter(request, path.substr(adapterPrefix.size()));
-    else if (drains && (method == "POST" || method == "DELETE"))
-        drain(request, targetOf(path), method == "POST");
+        sendAdapter(request, path.substr(adapterPrefix.size()));
+    else if (isDrain && (method == "POST" || method == "DELETE"))
+        setDrained(request, targetFromPath(path), method == "POST");
     else
         return false;
     return true;
 }
 
-auto OperatorApi::setVersion(const Request& request) -> void
+auto OperatorApi::setETag(const Request& request) -> void
 {
     request.exchange->setHeader("ETag", '"' + std::to_string(config_.current()->version().value()) + '"');
 }
 
-auto OperatorApi::config(const Request& request) -> void
+auto OperatorApi::sendConfig(const Request& request) -> void
 {
-    setVersion(request);
+    setETag(request);
     request.exchange->respond(200, "application/json", config_.current()->text());
 }
 
-auto OperatorApi::adapter(const Request& request, const std::string& name) -> void
+auto OperatorApi::sendAdapter(const Request& request, const std::string& name) -> void
 {
-    setVersion(request);
+    setETag(request);
     const auto* text = config_.current()->adapterText(name);
     if (!text)
         return writeError(request.exchange, request.id,
@@ -143,35 +145,35 @@
     request.exchange->respond(200, "application/json", *text);
 }
 
-auto OperatorApi::answer(const Request& request, kj::Promise<void> work) -> void
+auto OperatorApi::spawn(const Request& request, kj::Promise<void> work) -> void
 {
-    loop_.spawn(work.catch_([request](kj::Exception&& lost) {
+    loop_.spawn(work.catch_([request](kj::Exception&& failure) {
         writeError(request.exchange, request.id,
-            Error(Step::Platform, 503, "platform_away", lost.getDescription().cStr())
+            Error(Step::Platform, 503, "platform_away", failure.getDescription().cStr())
                 .run(RunState::Unknown)
                 .retryAfter(1s));
     }));
 }
 
-auto OperatorApi::history(const Request& request) -> void
+auto OperatorApi::sendHistory(const Request& request) -> void
 {
-    answer(request, config_.history().then([request](Json history) {
+    spawn(request, config_.history().then([request](Json history) {
         request.exchange->respond(200, "application/json", history.dump());
     }));
 }
 
-auto OperatorApi::answerPatch(const Request& request, const std::variant<ConfigVersion, Error>& outcome) -> void
+auto OperatorApi::sendPatchResult(const Request& request, const std::variant<ConfigVersion, Error>& outcome) -> void
 {
-    setVersion(request);
+    setETag(request);
     if (const auto* error = std::get_if<Error>(&outcome))
         return writeError(request.exchange, request.id, *error);
     const auto version = std::get<ConfigVersion>(outcome).value();
     request.exchange->respond(200, "application/json", Json { { "version", version } }.dump());
 }
 
-auto OperatorApi::patch(const Request& request) -> void
+auto OperatorApi::submitPatch(const Request& request) -> void
 {
-    const auto base = baseVersion(request.exchange->header("If-Match"));
+    const auto base = parseIfMatch(request.exchange->header("If-Match"));
     if (!base)
         return writeError(request.exchange, request.id,
             Error(Step::Parse, 428, "version_required", "If-Match must name the version that the patch is against"));
@@ -179,23 +181,23 @@
     if (!body.is_object())
         return writeError(request.exchange, request.id,
             Error(Step::Parse, 400, "invalid_request", "the patch must be a JSON object"));
-    answer(request,
+    spawn(request,
         config_.submit({ *base, std::move(body), request.operatorName, request.id.str() })
-            .then([this, request](std::variant<ConfigVersion, Error> outcome) { answerPatch(request, outcome); }));
+            .then([this, request](std::variant<ConfigVersion, Error> outcome) { sendPatchResult(request, outcome); }));
 }
 
-auto OperatorApi::status(const Request& request) -> void
+auto OperatorApi::sendStatus(const Request& request) -> void
 {
     const auto& drained = config_.current()->drained();
     auto targets = Json::array();
     for (const auto& view : targets_.views())
-        targets.push_back(viewJson(view, drained.contains(view.id)));
+        targets.push_back(targetJson(view, drained.contains(view.id)));
     auto body = status_();
     body["targets"] = std::move(targets);
     request.exchange->respond(200, "application/json", body.dump());
 }
 
-auto OperatorApi::explain(const Request& request) -> void
+auto OperatorApi::sendExplanation(const Request& request) -> void
 {
     const auto model = request.exchange->query("model");
     const auto& configuration = *config_.current();
@@ -212,9 +214,9 @@
             auto chosen = Json();
             auto candidates = Json::array();
             for (const auto& candidate : targets_.explain(placement)) {
-                const auto out = drained.contains(candidate.target);
-                candidates.push_back(explanationJson(candidate, out));
-                if (chosen.is_null() && !out && candidate.usable())
+                const auto isDrained = drained.contains(candidate.target);
+                candidates.push_back(explanationJson(candidate, isDrained));
+                if (chosen.is_null() && !isDrained && candidate.usable())
                     chosen = candidate.target.str();
             }
             const auto body = Json { { "model", resolved.name.str() }, { "member", member.str() }, { "target", chosen },
@@ -225,14 +227,14 @@
         [&](const Error& error) { writeError(request.exchange, request.id, error); });
 }
 
-auto OperatorApi::drain(const Request& request, const std::string& target, bool drained) -> void
+auto OperatorApi::setDrained(const Request& request, const std::string& target, bool drained) -> void
 {
     const auto known = std::any_of(
         targets_.views().begin(), targets_.views().end(), [&](const auto& view) { return view.id.str() == target; });
     if (drained && !known)
         return writeError(request.exchange, request.id,
             Error(Step::Configure, 404, "unknown_target", "there is no target '" + target + "'"));
-    answer(request, submitDrain(request, target, drained, drainTries));
+    spawn(request, submitDrain(request, target, drained, maxDrainTries));
 }
 
 auto OperatorApi::submitDrain(Request request, std::string target, bool drained, int tries) -> kj::Promise<void>
@@ -246,7 +248,7 @@
         const auto* error = std::get_if<Error>(&outcome);
         if (error && error->status() == 412 && tries > 1)
             return submitDrain(request, target, drained, tries - 1);
-        answerPatch(request, outcome);
+        sendPatchResult(request, outcome);
         return kj::READY_NOW;
     });
 }
--- a/packages/router/entry/OperatorApi.h
+++ b/packages/router/entry/OperatorApi.h
@@ -10,13 +10,15 @@
 
 namespace eelgrass::router {
 
-/// What operators may ask of an entry under `/admin/v1`, each with a key of their own.
+/// The HTTP API for operators under `/admin/v1`. Each operator authenticates with a key of their own.
 class OperatorApi {
 public:
-    /// `status` gives what the entry says of itself.
+    /// `status` returns the entry's own part of the answer to `/admin/v1/status`. The references must outlive this
+    /// object.
     OperatorApi(wire::MainLoop& loop, const EntrySettings& settings, ConfigController& config,
         TargetsController& targets, std::function<Json()> status);
 
+    /// Answers a request whose path begins with `/admin/`.
     auto serve(const wire::HttpExchangePtr& exchange) -> void;
 
 private:
@@ -24,23 +26,30 @@
         wire::HttpExchangePtr exchange;
         RequestId id;
         std::string operatorName;
-        /// Behind `/admin/v1/`.
+        /// The part of the path after `/admin/v1/`.
         std::string path;
     };
 
-    [[nodiscard]] auto operatorOf(const wire::HttpExchangePtr& exchange) const -> const std::string*;
+    /// Name of the operator whose key the request has; null if the key is missing or unknown.
+    [[nodiscard]] auto findOperator(const wire::HttpExchangePtr& exchange) const -> const std::string*;
+    /// Calls the handler of the request's path and method; false if there is none.
     auto route(const Request& request) -> bool;
-    auto config(const Request& request) -> void;
-    auto adapter(const Request& request, const std::string& name) -> void;
-    auto history(const Request& request) -> void;
-    auto patch(const Request& request) -> void;
-    auto status(const Request& request) -> void;
-    auto explain(const Request& request) -> void;
-    auto drain(const Request& request, const std::string& target, bool drained) -> void;
+    auto sendConfig(const Request& request) -> void;
+    auto sendAdapter(const Request& request, const std::string& name) -> void;
+    auto sendHistory(const Request& request) -> void;
+    auto submitPatch(const Request& request) -> void;
+    auto sendStatus(const Request& request) -> void;
+    /// Answers where a request for a model would be placed and why.
+    auto sendExplanation(const Request& request) -> void;
+    auto setDrained(const Request& request, const std::string& target, bool drained) -> void;
+    /// Submits the change against the current version; after a conflict with another change, again, `tries` times in
+    /// all.
     auto submitDrain(Request request, std::string target, bool drained, int tries) -> kj::Promise<void>;
-    auto answer(const Request& request, kj::Promise<void> work) -> void;
-    auto answerPatch(const Request& request, const std::variant<ConfigVersion, Error>& outcome) -> void;
-    auto setVersion(const Request& request) -> void;
+    /// Runs `work`, which sends the answer; answers 503 if it rejects.
+    auto spawn(const Request& request, kj::Promise<void> work) -> void;
+    auto sendPatchResult(const Request& request, const std::variant<ConfigVersion, Error>& outcome) -> void;
+    /// Sets the header `ETag` to the configuration's version.
+    auto setETag(const Request& request) -> void;
 
     wire::MainLoop& loop_;
     const EntrySettings& settings_;
--- a/packages/router/entry/Relay.cpp
+++ b/packages/router/entry/Relay.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-// Targets tried for one request; more would spend a caller's patience on a system that has no room.
+// Attempts for one request. More would keep the caller waiting on a system that has no capacity left.
 constexpr auto maxAttempts = 3;
 constexpr auto resumeDelay = Duration(200ms);
-// A target process that restarts is back within this.
-constexpr auto patience = Duration(15s);
-// A new connection to a target process that lives is there within milliseconds. A repeatable request that finds another
-// target goes there after this, since a frozen process takes connections and never answers on them.
-constexpr auto repeatablePatience = Duration(1s);
-// Before the only target is tried again: its process or engine has just started anew.
-constexpr auto sameTargetDelay = Duration(300ms);
-constexpr auto suspectPoll = Duration(50ms);
+// A target process is back within this time after a restart.
+constexpr auto resumeLimit = Duration(15s);
+// A live target process accepts a new connection within milliseconds, but a frozen one accepts connections and never
+// answers on them. After this time a repeatable request moves to another target if there is one.
+constexpr auto repeatableResumeLimit = Duration(1s);
+// Delay before a target is tried again whose process or engine has just restarted.
+constexpr auto sameTargetRetryDelay = Duration(300ms);
+constexpr auto suspectPollPeriod = Duration(50ms);
 
 auto digestOf(const Call& call) -> std::string
 {
-    // It begins with the member: what one member's request does is never held against another's.
+    // The digest starts with the member, so that a crash caused by one member's request never counts against another
+    // member.
     const auto text = call.model.name.str() + "\n" + call.servicePath + "\n" + std::string(call.exchange->body());
     return call.caller.member.str() + "/" + sha256Hex(text);
 }
@@ -35,7 +36,7 @@
 
 } // namespace
 
-/// Takes the chunks of one attempt; those of an attempt that was given up are turned away.
+/// Receives the chunks of one attempt. Rejects them once the relay has abandoned the attempt.
 class Relay::Sink final : public wire::schema::ChunkSink::Server {
 public:
     Sink(std::weak_ptr<Relay> relay, AttemptId attempt)
@@ -47,21 +48,21 @@
     auto chunk(ChunkContext context) -> kj::Promise<void> override
     {
         auto params = context.getParams();
-        auto piece = Piece { .status = params.getStatus(), .tokens = params.getTokens() };
-        piece.contentType = params.getContentType();
-        piece.data = textOf(params.getData());
-        return current()->receive(ChunkNumber(params.getNumber()), std::move(piece));
+        auto received = AnswerChunk { .status = params.getStatus(), .tokens = params.getTokens() };
+        received.contentType = params.getContentType();
+        received.data = textOf(params.getData());
+        return current()->receiveChunk(ChunkNumber(params.getNumber()), std::move(received));
     }
 
     auto end(EndContext context) -> kj::Promise<void> override
     {
         auto params = context.getParams();
-        return current()->receive(ChunkNumber(params.getNumber()), Piece { .end = read(params.getEnd()) });
+        return current()->receiveChunk(ChunkNumber(params.getNumber()), AnswerChunk { .end = read(params.getEnd()) });
     }
 
     auto progress(ProgressContext context) -> kj::Promise<void> override
     {
-        current()->writer_.progress(context.getParams().getNote());
+        current()->writer_.setProgress(context.getParams().getNote());
         return kj::READY_NOW;
     }
 
@@ -94,93 +95,95 @@
     whenFinished_ = pair.promise.fork();
 }
 
-Relay::~Relay() { endSuspect(); }
+Relay::~Relay() { releaseSuspectTurn(); }
 
 auto Relay::run() -> kj::Promise<void>
 {
     call_->exchange->onOver([self = weak_from_this()](bool whole) {
         auto relay = self.lock();
         if (relay && !whole)
-            relay->hungUp();
+            relay->handleHangUp();
     });
-    auto way = record_ ? record_->lookUp().then(
-                   [self = shared_from_this()](Standing standing) { return self->stand(std::move(standing)); })
-                       : tryNext();
-    return way.exclusiveJoin(whenFinished_.addBranch()).attach(kj::heap(shared_from_this()));
+    auto outcome = record_ ? record_->lookUp().then([self = shared_from_this()](ClaimStatus status) {
+        return self->handleClaimStatus(std::move(status));
+    })
+                           : tryNextTarget();
+    return outcome.exclusiveJoin(whenFinished_.addBranch()).attach(kj::heap(shared_from_this()));
 }
 
-auto Relay::stand(Standing standing) -> kj::Promise<void>
+auto Relay::handleClaimStatus(ClaimStatus status) -> kj::Promise<void>
 {
     if (done_)
         return kj::READY_NOW;
-    if (const auto* held = std::get_if<HeldBy>(&standing))
-        return join(held->claim);
-    if (const auto* answered = std::get_if<Answered>(&standing))
-        replay(*answered);
-    else if (const auto* error = std::get_if<Error>(&standing))
-        giveUp(*error);
+    if (const auto* held = std::get_if<HeldBy>(&status))
+        return joinAttempt(held->claim);
+    if (const auto* answered = std::get_if<Answered>(&status))
+        replayAnswer(*answered);
+    else if (const auto* error = std::get_if<Error>(&status))
+        endWithError(*error);
     else
-        return tryNext();
+        return tryNextTarget();
     return kj::READY_NOW;
 }
 
-auto Relay::runsAs(const ModelName& model) -> void
+auto Relay::adoptModel(const ModelName& model) -> void
 {
-    // Failure: between two sends of a request another version came in force, and the first answer was told under it.
-    // The ledger says what ran, so the caller hears just that.
+    // A new version can take effect between two sends of the same request, and the stored answer would then be reported
+    // under that version. The ledger records which version ran, and the caller is given that one.
     call_->model = withModelName(std::move(call_->model), model);
-    writer_.nameModel();
+    writer_.updateModel();
 }
 
-auto Relay::replay(const Answered& answered) -> void
+auto Relay::replayAnswer(const Answered& answered) -> void
 {
-    runsAs(answered.model);
+    adoptModel(answered.model);
     const auto& answer = answered.answer;
-    writer_.head(answer.status, answer.contentType);
+    writer_.setHead(answer.status, answer.contentType);
     if (!answer.text.empty())
-        writer_.text(answer.text, answer.tokens);
+        writer_.appendText(answer.text, answer.tokens);
     recorded_ = true;
     metrics_.count("eelgrass_replays_total", {});
-    writer_.end({ .finishReason = answer.finishReason, .completionTokens = answer.tokens, .error = answer.error });
+    writer_.finish({ .finishReason = answer.finishReason, .completionTokens = answer.tokens, .error = answer.error });
     finish();
 }
 
-auto Relay::join(const Claim& claim) -> kj::Promise<void>
+auto Relay::joinAttempt(const Claim& claim) -> kj::Promise<void>
 {
     log::info("attempt joined",
         { { "step", "claim" }, { "peer", claim.target.str() }, { "attempt", claim.attempt.str() },
             { "request_id", call_->requestId.str() } });
-    runsAs(claim.model);
+    adoptModel(claim.model);
     attempt_ = claim.attempt;
     target_ = claim.target;
     epoch_ = claim.epoch;
     nextChunk_ = ChunkNumber(0);
-    early_.clear();
+    earlyChunks_.clear();
     return resume(claim.target, now());
 }
 
-auto Relay::tryNext() -> kj::Promise<void>
+auto Relay::tryNextTarget() -> kj::Promise<void>
 {
     if (done_)
         return kj::READY_NOW;
     if (quarantine_.isQuarantined(digest_)) {
-        giveUp(Error(Step::Admit, 422, "quarantined", "this request crashed two engines and is not run again"));
+        endWithError(Error(Step::Admit, 422, "quarantined", "this request crashed two engines and is not run again"));
         return kj::READY_NOW;
     }
-    // A suspect sent many times at once would take one engine down each: it runs one at a time.
-    if (quarantine_.crashes(digest_) > 0 && !suspect_) {
-        suspect_ = quarantine_.tryStart(digest_);
-        if (!suspect_)
-            return loop_.sleep(suspectPoll).then([self = shared_from_this()] { return self->tryNext(); });
+    // Each concurrent run of a request that crashes engines could bring down another engine, so such requests run one
+    // at a time.
+    if (quarantine_.crashes(digest_) > 0 && !holdsSuspectTurn_) {
+        holdsSuspectTurn_ = quarantine_.tryStart(digest_);
+        if (!holdsSuspectTurn_)
+            return loop_.sleep(suspectPollPeriod).then([self = shared_from_this()] { return self->tryNextTarget(); });
     }
-    const auto target = attempts_ < maxAttempts ? targets_.place(placement()) : std::nullopt;
+    const auto target = attempts_ < maxAttempts ? targets_.place(placementRequest()) : std::nullopt;
     if (!target)
-        return noTarget();
+        return handleNoTarget();
     tried_.push_back(*target);
-    return startAt(*target);
+    return connectAndStart(*target);
 }
 
-auto Relay::placement() const -> decisions::PlacementRequest
+auto Relay::placementRequest() const -> decisions::PlacementRequest
 {
     auto request
         = decisions::PlacementRequest { .model = call_->model.name, .serves = call_->model.base, .tried = tried_ };
@@ -189,41 +192,42 @@
     return request;
 }
 
-auto Relay::noTarget() -> kj::Promise<void>
+auto Relay::handleNoTarget() -> kj::Promise<void>
 {
-    // A target that lost its engine, or changed hands, can take the request again in a moment.
-    if (mayReturn_ && attempts_ < maxAttempts) {
+    // A target that lost its engine or got a new owner can accept the request again shortly after.
+    if (mayRetryTried_ && attempts_ < maxAttempts) {
         ++attempts_;
         tried_.clear();
-        return loop_.sleep(sameTargetDelay).then([self = shared_from_this()] { return self->tryNext(); });
+        return loop_.sleep(sameTargetRetryDelay).then([self = shared_from_this()] { return self->tryNextTarget(); });
     }
-    auto error = refusal_ ? *refusal_ : Error(Step::Place, 503, "no_target", "no target can take the request now");
-    // A target that refused says when it expects to have room; that is the honest time to come back.
+    auto error
+        = lastRefusal_ ? *lastRefusal_ : Error(Step::Place, 503, "no_target", "no target can take the request now");
+    // A target that refuses for lack of capacity says when it expects to have some; that time is passed on.
     if (!error.retryAfter() || *error.retryAfter() < 1s)
         error = Error(std::move(error)).retryAfter(1s);
-    giveUp(error);
+    endWithError(error);
     return kj::READY_NOW;
 }
 
-auto Relay::startAt(const TargetId& target) -> kj::Promise<void>
+auto Relay::connectAndStart(const TargetId& target) -> kj::Promise<void>
 {
     auto link = targets_.link(target);
     if (!link)
-        return tryNext();
+        return tryNextTarget();
     return link->session().then(
         [self = shared_from_this(), target](
-            wire::schema::TargetSession::Client session) { return self->claimAt(target, kj::mv(session)); },
+            wire::schema::TargetSession::Client session) { return self->claimAndSend(target, kj::mv(session)); },
         [self = shared_from_this(), target](kj::Exception&& failed) {
-            // Nothing was sent: another target may take it.
+            // Nothing was sent, so another target may run the request.
             log::info("target not reached",
                 { { "step", "connect" }, { "peer", target.str() }, { "reason", failed.getDescription().cStr() } });
             self->targets_.markUnreachable(target);
-            self->mayReturn_ = true;
-            return self->tryNext();
+            self->mayRetryTried_ = true;
+            return self->tryNextTarget();
         });
 }
 
-auto Relay::claimAt(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>
+auto Relay::claimAndSend(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>
 {
     if (done_)
         return kj::READY_NOW;
@@ -232,16 +236,16 @@
     epoch_ = targets_.epoch(target);
     if (!record_) {
         attempt_ = std::move(attempt);
-        return send(target, kj::mv(session));
+        return sendStart(target, kj::mv(session));
     }
     return record_->claim(attempt, target, epoch_)
         .then([self = shared_from_this(), target, attempt, session = kj::mv(session)](
-                  Standing standing) mutable -> kj::Promise<void> {
-            if (!std::holds_alternative<Claimed>(standing))
-                return self->stand(std::move(standing));
+                  ClaimStatus status) mutable -> kj::Promise<void> {
+            if (!std::holds_alternative<Claimed>(status))
+                return self->handleClaimStatus(std::move(status));
             self->attempt_ = std::move(attempt);
             self->claimed_ = true;
-            return self->send(target, kj::mv(session));
+            return self->sendStart(target, kj::mv(session));
         });
 }
 
@@ -262,9 +266,9 @@
         = call_->kind == AttemptRequest::Kind::Service ? std::string(call_->exchange->body()) : call_->body.dump(),
         .path = call_->servicePath,
         .digest = digest_,
-        .skipTokens = writer_.written(),
-        .givenText = given_,
-        .crashes = crashes_ = quarantine_.crashes(digest_),
+        .skipTokens = writer_.tokensWritten(),
+        .givenText = givenText_,
+        .crashes = crashesAtStart_ = quarantine_.crashes(digest_),
     };
     if (call_->kind == AttemptRequest::Kind::Service) {
         request.method = call_->exchange->method();
@@ -273,38 +277,38 @@
     return request;
 }
 
-auto Relay::send(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>
+auto Relay::sendStart(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>
 {
     target_ = target;
     nextChunk_ = ChunkNumber(0);
-    early_.clear();
+    earlyChunks_.clear();
     auto request = session.startRequest();
     router::write(attemptRequest(), request.initRequest());
     request.setSink(kj::heap<Sink>(weak_from_this(), attempt_));
     return request.send()
-        .attach(watch(target))
+        .attach(watchSession(target))
         .then(
             [self = shared_from_this(), target](auto&& answer) -> kj::Promise<void> {
                 self->targets_.report(answer.getState());
                 if (!answer.getAccepted())
-                    return self->refusedBy(target, read(answer.getRefusal()));
-                return self->follow(target);
+                    return self->handleRefusal(target, read(answer.getRefusal()));
+                return self->resumeWhenLost(target);
             },
             [self = shared_from_this(), target](kj::Exception&&) {
-                // The start may have arrived: the target process is asked, never passed over.
+                // The start may have arrived, so the target process must be asked before anything else is tried.
                 return self->resume(target, now());
             });
 }
 
-auto Relay::watch(const TargetId& target) -> kj::Own<kj::Promise<void>>
+auto Relay::watchSession(const TargetId& target) -> kj::Own<kj::Promise<void>>
 {
-    // While someone holds this, the session is watched by quick heartbeats: a question into a session that went silent
-    // would otherwise wait for the slow ones.
+    // The session is checked with frequent heartbeats while the returned promise is held. Otherwise a request sent on a
+    // silent session would wait until the infrequent idle heartbeats detect the loss.
     auto link = targets_.link(target);
     return kj::heap(link ? link->whenLost() : kj::Promise<void>(kj::READY_NOW));
 }
 
-auto Relay::refusedBy(const TargetId& target, const Error& error) -> kj::Promise<void>
+auto Relay::handleRefusal(const TargetId& target, const Error& error) -> kj::Promise<void>
 {
     target_.reset();
     log::info("target refused",
@@ -312,21 +316,22 @@
             { "attempt", attempt_.str() } });
     metrics_.count("eelgrass_refusals_total", { { "type", error.type() } });
     if (error.run() != RunState::NotRun || error.status() < 409 || error.status() == 413 || error.status() == 422) {
-        giveUp(error);
+        endWithError(error);
         return kj::READY_NOW;
     }
-    // Refused for its old epoch only, or as an attempt that was revoked: the same target takes it with the epoch that
-    // came with the refusal, or as a new attempt. Passed over, a draft was refused whose adapter is nowhere else.
+    // After a refusal for an old epoch or a revoked attempt, the same target accepts the request with the epoch that
+    // came with the refusal, or as a new attempt. When that target was skipped, a request failed whose adapter was on
+    // no other target.
     if (error.type() == "stale_epoch" || error.type() == "not_started" || error.type() == "revoked")
         std::erase(tried_, target);
-    mayReturn_ = mayReturn_ || error.type() == "stale_epoch" || error.type() == "engine_away"
+    mayRetryTried_ = mayRetryTried_ || error.type() == "stale_epoch" || error.type() == "engine_away"
         || error.type() == "adapter_not_loaded";
     if (error.status() >= 500)
-        refusal_ = error;
-    return tryNext();
+        lastRefusal_ = error;
+    return tryNextTarget();
 }
 
-auto Relay::follow(const TargetId& target) -> kj::Promise<void>
+auto Relay::resumeWhenLost(const TargetId& target) -> kj::Promise<void>
 {
     auto link = targets_.link(target);
     auto lost = link ? link->whenLost() : kj::Promise<void>(kj::READY_NOW);
@@ -338,147 +343,153 @@
     if (done_ || target_ != target)
         return kj::READY_NOW;
     const auto waited = now() - lostAt;
-    if (waited > patience || (waited > repeatablePatience && repeatable() && targets_.canPlace(placement())))
-        return elsewhere(lostError(target));
+    if (waited > resumeLimit
+        || (waited > repeatableResumeLimit && isRepeatable() && targets_.canPlace(placementRequest())))
+        return continueElsewhere(lostError(target));
     auto link = targets_.link(target);
     if (!link)
-        return resumeLater(target, lostAt);
-    auto late = loop_.sleep(repeatablePatience).then([]() -> wire::schema::TargetSession::Client {
+        return resumeAfterDelay(target, lostAt);
+    auto late = loop_.sleep(repeatableResumeLimit).then([]() -> wire::schema::TargetSession::Client {
         KJ_FAIL_REQUIRE("the target process does not answer");
     });
     return link->session()
         .exclusiveJoin(kj::mv(late))
         .then([self = shared_from_this(), target](wire::schema::TargetSession::Client session) {
-            // What came early on the lost session is sent again.
-            self->early_.clear();
+            // Chunks that arrived out of order on the lost session are sent again.
+            self->earlyChunks_.clear();
             auto request = session.resumeRequest();
             request.setAttempt(self->attempt_.str());
             request.setNextChunk(self->nextChunk_.value());
-            request.setNextToken(self->writer_.written());
+            request.setNextToken(self->writer_.tokensWritten());
             request.setModel(self->call_->model.name.str());
             request.setSink(kj::heap<Sink>(self->weak_from_this(), self->attempt_));
-            return request.send().attach(self->watch(target));
+            return request.send().attach(self->watchSession(target));
         })
-        .then([self = shared_from_this(), target](
-                  auto&& answer) { return answer.getKnown() ? self->follow(target) : self->unknownAt(target); },
-            [self = shared_from_this(), target, lostAt](kj::Exception&&) { return self->resumeLater(target, lostAt); });
+        .then(
+            [self = shared_from_this(), target](auto&& answer) {
+                return answer.getKnown() ? self->resumeWhenLost(target) : self->handleUnknownAttempt(target);
+            },
+            [self = shared_from_this(), target, lostAt](
+                kj::Exception&&) { return self->resumeAfterDelay(target, lostAt); });
 }
 
-auto Relay::resumeLater(const TargetId& target, Moment lostAt) -> kj::Promise<void>
+auto Relay::resumeAfterDelay(const TargetId& target, Moment lostAt) -> kj::Promise<void>
 {
     return loop_.sleep(resumeDelay).then([self = shared_from_this(), target, lostAt] {
         return self->resume(target, lostAt);
     });
 }
 
-auto Relay::unknownAt(const TargetId& target) -> kj::Promise<void>
+auto Relay::handleUnknownAttempt(const TargetId& target) -> kj::Promise<void>
 {
-    // Under another owner the attempt may have run or not, and nobody is left who could tell.
+    // The epoch changed with the target's owner: the attempt may or may not have run, and no process knows which.
     if (targets_.epoch(target) != epoch_)
-        return elsewhere(lostError(target));
+        return continueElsewhere(lostError(target));
     auto link = targets_.link(target);
     if (!link)
-        return elsewhere(lostError(target));
+        return continueElsewhere(lostError(target));
     return link->session()
         .then([self = shared_from_this(), target](wire::schema::TargetSession::Client session) {
             auto request = session.revokeRequest();
             request.setAttempt(self->attempt_.str());
-            return request.send().attach(self->watch(target));
+            return request.send().attach(self->watchSession(target));
         })
         .then(
             [self = shared_from_this(), target](auto&& answer) {
                 if (answer.getKnown())
                     return self->resume(target, now());
                 if (!answer.getRevoked())
-                    return self->elsewhere(lostError(target));
-                // Its start never came, and if it still comes it is refused.
-                return self->refusedBy(
+                    return self->continueElsewhere(lostError(target));
+                // The start never arrived. If it arrives later, the target refuses it.
+                return self->handleRefusal(
                     target, Error(Step::Start, 503, "not_started", "the start did not reach the target"));
             },
-            [self = shared_from_this(), target](kj::Exception&&) { return self->resumeLater(target, now()); });
+            [self = shared_from_this(), target](kj::Exception&&) { return self->resumeAfterDelay(target, now()); });
 }
 
-auto Relay::elsewhere(const Error& error) -> kj::Promise<void>
+auto Relay::continueElsewhere(const Error& error) -> kj::Promise<void>
 {
     if (done_)
         return kj::READY_NOW;
-    if (record_ && !begun_) {
-        // It may have been answered meanwhile, and its output let go: the ledger then has it.
-        return record_->lookUp().then([self = shared_from_this(), error](Standing standing) {
-            if (const auto* answered = std::get_if<Answered>(&standing))
-                self->replay(*answered);
+    if (record_ && !answerBegun_) {
+        // The attempt may have finished and its output been released; the answer is then in the ledger.
+        return record_->lookUp().then([self = shared_from_this(), error](ClaimStatus status) {
+            if (const auto* answered = std::get_if<Answered>(&status))
+                self->replayAnswer(*answered);
             else
-                self->giveUp(error);
+                self->endWithError(error);
         });
     }
-    if (!repeatable()) {
-        giveUp(error);
+    if (!isRepeatable()) {
+        endWithError(error);
         return kj::READY_NOW;
     }
-    // The caller has the beginning of an answer. The rest is generated from the prompt and just that beginning, on the
-    // same adapter and version, so that the whole is one answer.
+    // The caller may already have the start of the answer. Another target generates the rest from the prompt and that
+    // text, on the same adapter and version, so that both parts form one answer.
     log::info("answer goes on elsewhere",
         { { "step", "relay" }, { "peer", error.peer() }, { "attempt", attempt_.str() }, { "type", error.type() } });
     metrics_.count("eelgrass_continuations_total", { { "type", error.type() } });
-    cancelAt(target_);
+    cancelAttempt(target_);
     target_.reset();
     mayHaveRun_ = true;
-    mayReturn_ = true;
-    refusal_ = error;
-    return tryNext();
+    mayRetryTried_ = true;
+    lastRefusal_ = error;
+    return tryNextTarget();
 }
 
-auto Relay::repeatable() const -> bool { return !record_ && call_->kind != AttemptRequest::Kind::Service; }
+auto Relay::isRepeatable() const -> bool { return !record_ && call_->kind != AttemptRequest::Kind::Service; }
 
-auto Relay::receive(ChunkNumber number, Piece piece) -> kj::Promise<void>
+auto Relay::receiveChunk(ChunkNumber number, AnswerChunk chunk) -> kj::Promise<void>
 {
-    // Sent again after a resume: the caller has it.
+    // Sent again after a resume; the caller already has this chunk.
     if (number < nextChunk_)
         return kj::READY_NOW;
     if (number == nextChunk_)
-        return take(std::move(piece));
-    // It overtook the chunks before it. Written now it would garble the answer, so it waits for its turn; it is
-    // acknowledged only then, because an acknowledgement stands for all before it. The target process stops at its
-    // own high-water mark, which bounds what can wait here.
+        return processChunk(std::move(chunk));
+    // The chunk arrived before its predecessors and is buffered, since writing it now would corrupt the answer. It is
+    // acknowledged only when it is written, because an acknowledgement covers all earlier chunks. The target process
+    // stops sending at its own high-water mark, which bounds this buffer.
     auto pair = kj::newPromiseAndFulfiller<void>();
-    early_[number] = { std::move(piece), kj::mv(pair.fulfiller) };
+    earlyChunks_[number] = { std::move(chunk), kj::mv(pair.fulfiller) };
     return kj::mv(pair.promise);
 }
 
-auto Relay::take(Piece piece) -> kj::Promise<void>
+auto Relay::processChunk(AnswerChunk chunk) -> kj::Promise<void>
 {
     nextChunk_ = nextChunk_.next();
     if (auto link = targets_.link(*target_))
-        link->heard();
-    if (piece.end) {
-        end(*piece.end);
+        link->noteActivity();
+    if (chunk.end) {
+        handleEnd(*chunk.end);
         return kj::READY_NOW;
     }
-    write(piece);
-    const auto next = early_.find(nextChunk_);
-    if (next == early_.end())
-        return writer_.writable();
+    writeChunk(chunk);
+    const auto next = earlyChunks_.find(nextChunk_);
+    if (next == earlyChunks_.end())
+        return writer_.whenWritable();
     auto early = std::move(next->second);
-    early_.erase(next);
-    return take(std::move(early.piece)).then([fulfiller = kj::mv(early.fulfiller)]() mutable { fulfiller->fulfill(); });
+    earlyChunks_.erase(next);
+    return processChunk(std::move(early.chunk)).then([fulfiller = kj::mv(early.fulfiller)]() mutable {
+        fulfiller->fulfill();
+    });
 }
 
-auto Relay::write(const Piece& piece) -> void
+auto Relay::writeChunk(const AnswerChunk& chunk) -> void
 {
-    begun_ = true;
-    if (piece.status > 0) {
-        writer_.head(piece.status, piece.contentType);
+    answerBegun_ = true;
+    if (chunk.status > 0) {
+        writer_.setHead(chunk.status, chunk.contentType);
         if (record_)
-            record_->head(piece.status, piece.contentType);
+            record_->setHead(chunk.status, chunk.contentType);
     }
-    if (piece.data.empty())
+    if (chunk.data.empty())
         return;
     const auto first = !writer_.firstTokenAt();
-    writer_.text(piece.data, piece.tokens);
+    writer_.appendText(chunk.data, chunk.tokens);
     if (record_)
-        record_->text(piece.data, piece.tokens);
-    else if (repeatable())
-        given_ += piece.data;
+        record_->appendText(chunk.data, chunk.tokens);
+    else if (isRepeatable())
+        givenText_ += chunk.data;
     const auto at = now();
     if (first) {
         const auto& member = call_->caller.member;
@@ -490,61 +501,62 @@
     lastTokenAt_ = at;
 }
 
-auto Relay::end(const AnswerEnd& end) -> void
+auto Relay::handleEnd(const AnswerEnd& end) -> void
 {
     const auto& member = call_->caller.member;
     metrics_.observe("eelgrass_load_stall_seconds", member, call_->requestClass, end.loadStall);
     metrics_.observe("eelgrass_queue_wait_seconds", member, call_->requestClass, end.queueWait);
     if (!end.error) {
         quarantine_.recordSuccess(digest_);
-        return answered(end);
+        return finishAnswer(end);
     }
     const auto target = *target_;
     const auto lost = end.error->type() == "engine_lost";
-    if (lost && quarantine_.recordCrash(digest_, crashes_)) {
+    if (lost && quarantine_.recordCrash(digest_, crashesAtStart_)) {
         auto error = Error(Step::Engine, 422, "quarantined", "this request crashed two engines");
-        return answered({ .error = std::move(error).at(target.str()).run(end.error->run()) });
+        return finishAnswer({ .error = std::move(error).at(target.str()).run(end.error->run()) });
     }
-    endSuspect();
-    // Handed back unstarted: it goes elsewhere.
+    releaseSuspectTurn();
+    // The target returned the attempt without starting it, so another target may run it.
     if (end.error->run() == RunState::NotRun && end.error->status() >= 409)
-        loop_.spawn(refusedBy(target, *end.error).attach(kj::heap(shared_from_this())));
-    else if (lost && repeatable())
-        loop_.spawn(elsewhere(*end.error).attach(kj::heap(shared_from_this())));
+        loop_.spawn(handleRefusal(target, *end.error).attach(kj::heap(shared_from_this())));
+    else if (lost && isRepeatable())
+        loop_.spawn(continueElsewhere(*end.error).attach(kj::heap(shared_from_this())));
     else
-        answered(end);
+        finishAnswer(end);
 }
 
-auto Relay::answered(const AnswerEnd& end) -> void
+auto Relay::finishAnswer(const AnswerEnd& end) -> void
 {
     if (done_)
         return;
-    writer_.end(end);
+    writer_.finish(end);
     if (!record_ || recorded_ || (end.error && end.error->run() == RunState::NotRun))
         return finish();
     recorded_ = true;
-    // The caller has its answer; this call stays until the ledger has it too, and then the target process lets go.
+    // The caller has the answer. The relay lives on until the ledger has it too; then the target process may discard
+    // its copy.
     loop_.spawn(record_->finish(end).then([self = shared_from_this()](bool kept) {
         if (kept)
-            self->releaseAt(self->target_);
+            self->releaseAttempt(self->target_);
         self->finish();
     }));
 }
 
-auto Relay::giveUp(Error error) -> void
+auto Relay::endWithError(Error error) -> void
 {
     if (done_)
         return;
-    if (writer_.written() > 0)
+    if (writer_.tokensWritten() > 0)
         error = std::move(error).run(RunState::Partial);
     else if (mayHaveRun_ && error.run() == RunState::NotRun)
         error = std::move(error).run(RunState::Unknown);
     log::info("request refused",
         { { "step", std::string(toString(error.step())) }, { "peer", error.peer() }, { "type", error.type() },
             { "request_id", call_->requestId.str() }, { "member", call_->caller.member.str() } });
-    writer_.refuse(error);
+    writer_.finishWithError(error);
     if (record_ && claimed_ && error.run() == RunState::NotRun)
-        loop_.spawn(record_->free().attach(kj::heap(shared_from_this())));
+        loop_.spawn(record_->releaseClaim().attach(kj::heap(shared_from_this())));
     finish();
 }
 
@@ -553,7 +565,7 @@
     if (done_)
         return;
     done_ = true;
-    endSuspect();
+    releaseSuspectTurn();
     metrics_.observe("eelgrass_answer_seconds", call_->caller.member, call_->requestClass, now() - call_->receivedAt);
     if (log::debugs()) {
         log::debug("request over",
@@ -564,13 +576,14 @@
     finished_->fulfill();
 }
 
-auto Relay::endSuspect() -> void
+auto Relay::releaseSuspectTurn() -> void
 {
-    if (std::exchange(suspect_, false))
+    if (std::exchange(holdsSuspectTurn_, false))
         quarantine_.finish(digest_);
 }
 
-template <typename MakeRequest> auto Relay::tell(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void
+template <typename MakeRequest>
+auto Relay::sendOnOpenSession(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void
 {
     auto link = target ? targets_.link(*target) : nullptr;
     if (!link || !link->isOpen())
@@ -584,25 +597,26 @@
                     .catch_([](kj::Exception&&) {}));
 }
 
-auto Relay::cancelAt(const std::optional<TargetId>& target) -> void
+auto Relay::cancelAttempt(const std::optional<TargetId>& target) -> void
 {
-    tell(target, [](auto& session) { return session.cancelRequest(); });
+    sendOnOpenSession(target, [](auto& session) { return session.cancelRequest(); });
 }
 
-auto Relay::releaseAt(const std::optional<TargetId>& target) -> void
+auto Relay::releaseAttempt(const std::optional<TargetId>& target) -> void
 {
-    tell(target, [](auto& session) { return session.releaseRequest(); });
+    sendOnOpenSession(target, [](auto& session) { return session.releaseRequest(); });
 }
 
-auto Relay::hungUp() -> void
+auto Relay::handleHangUp() -> void
 {
     if (done_)
         return;
     metrics_.count("eelgrass_hangups_total", {});
-    // What may run only once goes on: its caller may come back for the answer, and it must not be run again for that.
+    // A request that may run only once continues: its caller may send it again to fetch the answer, and it must not run
+    // a second time for that.
     if (record_)
         return;
-    cancelAt(target_);
+    cancelAttempt(target_);
     finish();
 }
 
--- a/packages/router/entry/Relay.h
+++ b/packages/router/entry/Relay.h
@@ -10,7 +10,7 @@
 
 namespace eelgrass::router {
 
-/// The state of an entry that relaying needs.
+/// Controllers of the entry process that a relay uses.
 struct RelayControllers {
     TargetsController& targets;
     LedgerController& ledger;
@@ -18,7 +18,8 @@
     Metrics& metrics;
 };
 
-/// Takes one admitted call through its attempts: places it, starts it, relays the answer, resumes it after a loss.
+/// Runs one admitted call: chooses a target, starts an attempt there, relays the answer to the caller, and resumes or
+/// restarts the attempt after a loss.
 class Relay : public std::enable_shared_from_this<Relay> {
 public:
     Relay(wire::MainLoop& loop, const RelayControllers& controllers, CallPtr call);
@@ -26,63 +27,82 @@
     Relay(const Relay&) = delete;
     auto operator=(const Relay&) -> Relay& = delete;
 
-    /// Kept when the caller has its answer or is gone.
+    /// Resolves when the caller has its answer or has disconnected. For a request that may run only once, resolves when
+    /// the ledger has the answer too, even if the caller has disconnected.
     [[nodiscard]] auto run() -> kj::Promise<void>;
 
 private:
     class Sink;
     friend class Sink;
-    /// A chunk of the answer, or its end.
-    struct Piece {
+    /// A chunk of the answer, or the end of the answer.
+    struct AnswerChunk {
         std::uint16_t status = 0;
         std::string contentType;
         std::string data;
         std::uint32_t tokens = 0;
         std::optional<AnswerEnd> end;
     };
-    struct EarlyPiece {
-        Piece piece;
+    /// A chunk that arrived before its predecessors.
+    struct EarlyChunk {
+        AnswerChunk chunk;
         kj::Own<kj::PromiseFulfiller<void>> fulfiller;
     };
 
-    auto stand(Standing standing) -> kj::Promise<void>;
-    /// Gives the caller the answer that the ledger has.
-    auto replay(const Answered& answered) -> void;
-    /// The answer comes from a run that began under this name.
-    auto runsAs(const ModelName& model) -> void;
-    /// Reads the answer of an attempt that another call started.
-    auto join(const Claim& claim) -> kj::Promise<void>;
-    auto tryNext() -> kj::Promise<void>;
-    [[nodiscard]] auto placement() const -> decisions::PlacementRequest;
-    auto noTarget() -> kj::Promise<void>;
-    auto startAt(const TargetId& target) -> kj::Promise<void>;
-    auto claimAt(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
-    auto send(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
+    /// Continues according to the request's state in the ledger.
+    auto handleClaimStatus(ClaimStatus status) -> kj::Promise<void>;
+    /// Sends the caller the answer stored in the ledger.
+    auto replayAnswer(const Answered& answered) -> void;
+    /// Reports the answer under the adapter and version that it was run with.
+    auto adoptModel(const ModelName& model) -> void;
+    /// Relays the answer of an attempt that another call started.
+    auto joinAttempt(const Claim& claim) -> kj::Promise<void>;
+    /// Chooses a target and starts an attempt there; without a target, retries or refuses the call.
+    auto tryNextTarget() -> kj::Promise<void>;
+    [[nodiscard]] auto placementRequest() const -> decisions::PlacementRequest;
+    auto handleNoTarget() -> kj::Promise<void>;
+    /// Opens a session with the target, then claims the request and sends the start.
+    auto connectAndStart(const TargetId& target) -> kj::Promise<void>;
+    /// Claims the request in the ledger if it may run only once, then sends the start.
+    auto claimAndSend(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
+    auto sendStart(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
     auto attemptRequest() -> AttemptRequest;
-    auto watch(const TargetId& target) -> kj::Own<kj::Promise<void>>;
-    auto refusedBy(const TargetId& target, const Error& error) -> kj::Promise<void>;
-    auto follow(const TargetId& target) -> kj::Promise<void>;
+    /// Keeps the target's session on frequent heartbeats while the returned promise is held.
+    auto watchSession(const TargetId& target) -> kj::Own<kj::Promise<void>>;
+    /// Tries another target, or passes the refusal on to the caller.
+    auto handleRefusal(const TargetId& target, const Error& error) -> kj::Promise<void>;
+    /// Waits until the target's session is lost, then resumes the attempt; chunks arrive through the sink meanwhile.
+    auto resumeWhenLost(const TargetId& target) -> kj::Promise<void>;
+    /// Asks the target process to send the answer from the next missing chunk on. `lostAt`: when the session was lost.
     auto resume(const TargetId& target, Moment lostAt) -> kj::Promise<void>;
-    auto resumeLater(const TargetId& target, Moment lostAt) -> kj::Promise<void>;
-    /// The target process does not know the attempt: finds out whether it can still start.
-    auto unknownAt(const TargetId& target) -> kj::Promise<void>;
-    /// The attempt is lost with what it had begun.
-    auto elsewhere(const Error& error) -> kj::Promise<void>;
-    [[nodiscard]] auto repeatable() const -> bool;
-    auto giveUp(Error error) -> void;
-    auto hungUp() -> void;
-    /// Kept when the piece is with the caller, or waits for it in a bounded buffer.
-    auto receive(ChunkNumber number, Piece piece) -> kj::Promise<void>;
-    auto take(Piece piece) -> kj::Promise<void>;
-    auto write(const Piece& piece) -> void;
-    auto end(const AnswerEnd& end) -> void;
-    auto answered(const AnswerEnd& end) -> void;
+    auto resumeAfterDelay(const TargetId& target, Moment lostAt) -> kj::Promise<void>;
+    /// The target process does not know the attempt: revokes it there, so that it cannot start any more.
+    auto handleUnknownAttempt(const TargetId& target) -> kj::Promise<void>;
+    /// The attempt is lost: continues the answer on another target if the call may be repeated, else fails the call.
+    auto continueElsewhere(const Error& error) -> kj::Promise<void>;
+    [[nodiscard]] auto isRepeatable() const -> bool;
+    /// Ends the call with an error, adjusted to whether the request may have run.
+    auto endWithError(Error error) -> void;
+    /// The caller disconnected before the answer was complete.
+    auto handleHangUp() -> void;
+    /// Resolves, as the acknowledgement to the target, when the chunk is written to the caller or to its bounded
+    /// buffer.
+    auto receiveChunk(ChunkNumber number, AnswerChunk chunk) -> kj::Promise<void>;
+    /// Handles the chunk that is next in order, and any buffered ones that follow it.
+    auto processChunk(AnswerChunk chunk) -> kj::Promise<void>;
+    auto writeChunk(const AnswerChunk& chunk) -> void;
+    auto handleEnd(const AnswerEnd& end) -> void;
+    /// Ends the answer to the caller and stores it in the ledger if the request may run only once.
+    auto finishAnswer(const AnswerEnd& end) -> void;
+    /// Marks the call as done and resolves the promise of run().
     auto finish() -> void;
-    auto endSuspect() -> void;
-    /// Sends a message about the attempt on an open session; what is lost there, the target process finds out itself.
-    template <typename MakeRequest> auto tell(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void;
-    auto cancelAt(const std::optional<TargetId>& target) -> void;
-    auto releaseAt(const std::optional<TargetId>& target) -> void;
+    /// Lets the next call with the same digest run, if this one held the turn of a suspect request.
+    auto releaseSuspectTurn() -> void;
+    /// Sends a message about the attempt if a session with the target is open. A lost message does no harm: the target
+    /// process cleans up by itself later.
+    template <typename MakeRequest>
+    auto sendOnOpenSession(const std::optional<TargetId>& target, MakeRequest makeRequest) -> void;
+    auto cancelAttempt(const std::optional<TargetId>& target) -> void;
+    auto releaseAttempt(const std::optional<TargetId>& target) -> void;
 
     wire::MainLoop& loop_;
     TargetsController& targets_;
@@ -91,12 +111,14 @@
     CallPtr call_;
     std::string digest_;
     AnswerWriter writer_;
-    /// Time between the chunks of this answer; found once, since it is observed with each.
+    /// Histogram of the time between chunks. Looked up once per answer, since every chunk is observed.
     Metrics::Series* betweenTokens_ = nullptr;
     Moment lastTokenAt_ {};
-    /// Null for a request that may be repeated.
+    /// Null if the request may run more than once.
     std::unique_ptr<RunRecord> record_;
+    /// This call holds the claim in the ledger.
     bool claimed_ = false;
+    /// The answer is in the ledger or being written to it.
     bool recorded_ = false;
     std::vector<TargetId> tried_;
     int attempts_ = 0;
@@ -104,19 +126,22 @@
     std::optional<TargetId> target_;
     Epoch epoch_;
     ChunkNumber nextChunk_;
-    std::map<ChunkNumber, EarlyPiece> early_;
-    /// What the caller has of a repeatable answer, so that another target can go on from it.
-    std::string given_;
-    /// The last refusal of a target, told when no other takes the request.
-    std::optional<Error> refusal_;
-    /// A target that was tried may take the request after all.
-    bool mayReturn_ = false;
-    /// An attempt was lost after it was started.
+    /// Chunks that arrived before their predecessors, by number.
+    std::map<ChunkNumber, EarlyChunk> earlyChunks_;
+    /// Text of a repeatable answer that the caller already has; another target can continue from it.
+    std::string givenText_;
+    /// The last refusal by a target. Returned to the caller if no other target accepts the request.
+    std::optional<Error> lastRefusal_;
+    /// A target that was already tried may accept the request on a second try.
+    bool mayRetryTried_ = false;
+    /// An earlier attempt was lost after its start, so the request may have run.
     bool mayHaveRun_ = false;
-    /// The caller was given some of the answer.
-    bool begun_ = false;
-    bool suspect_ = false;
-    std::uint32_t crashes_ = 0;
+    /// A chunk of the answer was passed to the caller.
+    bool answerBegun_ = false;
+    /// This call is the one of its digest that may run now; set for a request that has crashed an engine.
+    bool holdsSuspectTurn_ = false;
+    /// Engine crashes counted for this request when the attempt was sent.
+    std::uint32_t crashesAtStart_ = 0;
     bool done_ = false;
     kj::Own<kj::PromiseFulfiller<void>> finished_;
     kj::ForkedPromise<void> whenFinished_ = nullptr;
--- a/packages/router/entry/RunRecord.cpp
+++ b/packages/router/entry/RunRecord.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A caller of a filed submission is better refused soon, as certainly not run, than left waiting on a store that is
-// away: it can send again, and the key makes that safe.
-constexpr auto ledgerLimit = Duration(2s);
+// If the table service is unavailable, an early refusal as `not_run` is better than a long wait: the caller can send
+// the request again, and the idempotency key makes that safe.
+constexpr auto ledgerTimeout = Duration(2s);
 
 auto digestOf(const Call& call) -> std::string
 {
@@ -32,26 +32,26 @@
 {
 }
 
-auto RunRecord::bounded(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<Standing>
+auto RunRecord::withTimeout(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<ClaimStatus>
 {
-    auto late = loop_.sleep(ledgerLimit).then([]() -> LedgerRow { KJ_FAIL_REQUIRE("the ledger is slow"); });
+    auto late = loop_.sleep(ledgerTimeout).then([]() -> LedgerRow { KJ_FAIL_REQUIRE("the ledger is slow"); });
     return row.exclusiveJoin(kj::mv(late))
-        .then([this, own = std::move(own)](LedgerRow found) { return judge(std::move(found), own); },
-            [](kj::Exception&&) -> Standing {
-                // Nothing was sent. A claim of this call that still reaches the ledger names an attempt that no target
-                // has; whoever finds it revokes it.
+        .then([this, own = std::move(own)](LedgerRow found) { return statusOf(std::move(found), own); },
+            [](kj::Exception&&) -> ClaimStatus {
+                // Nothing was sent to a target. If this call's claim still reaches the ledger, it names an attempt that
+                // no target knows; the next call that finds the claim revokes it.
                 return Error(Step::Claim, 503, "ledger_away", "the platform's table service is away").retryAfter(1s);
             });
 }
 
-auto RunRecord::lookUp() -> kj::Promise<Standing> { return bounded(ledger_.read(key_), AttemptId()); }
+auto RunRecord::lookUp() -> kj::Promise<ClaimStatus> { return withTimeout(ledger_.read(key_), AttemptId()); }
 
-auto RunRecord::claim(const AttemptId& attempt, const TargetId& target, Epoch epoch) -> kj::Promise<Standing>
+auto RunRecord::claim(const AttemptId& attempt, const TargetId& target, Epoch epoch) -> kj::Promise<ClaimStatus>
 {
-    return bounded(ledger_.claim(key_, { digest_, attempt, target, epoch, model_ }, row_.version), attempt);
+    return withTimeout(ledger_.claim(key_, { digest_, attempt, target, epoch, model_ }, row_.version), attempt);
 }
 
-auto RunRecord::judge(LedgerRow row, const AttemptId& own) -> Standing
+auto RunRecord::statusOf(LedgerRow row, const AttemptId& own) -> ClaimStatus
 {
     row_ = std::move(row);
     if (row_.unclaimed())
@@ -65,13 +65,13 @@
     return HeldBy { row_.claim };
 }
 
-auto RunRecord::head(int status, const std::string& contentType) -> void
+auto RunRecord::setHead(int status, const std::string& contentType) -> void
 {
     answer_.status = status;
     answer_.contentType = contentType;
 }
 
-auto RunRecord::text(std::string_view text, std::uint32_t tokens) -> void
+auto RunRecord::appendText(std::string_view text, std::uint32_t tokens) -> void
 {
     answer_.text += text;
     answer_.tokens += tokens;
@@ -84,6 +84,6 @@
     return ledger_.finish(key_, row_, answer_);
 }
 
-auto RunRecord::free() -> kj::Promise<void> { return ledger_.releaseClaim(key_, row_); }
+auto RunRecord::releaseClaim() -> kj::Promise<void> { return ledger_.releaseClaim(key_, row_); }
 
 } // namespace eelgrass::router
--- a/packages/router/entry/RunRecord.h
+++ b/packages/router/entry/RunRecord.h
@@ -7,42 +7,46 @@
 
 namespace eelgrass::router {
 
-/// No attempt has the request; it may be claimed.
+/// No attempt has claimed the request.
 struct Unclaimed { };
-/// The claim is this call's own; the request may be sent.
+/// This call holds the claim and may send the request to a target.
 struct Claimed { };
-/// Another attempt has the request; it is to be joined, or revoked.
+/// Another attempt holds the claim; it must be joined or revoked.
 struct HeldBy {
     Claim claim;
 };
-/// The request is answered; its caller gets that answer again.
+/// The request is finished; its caller gets the stored answer.
 struct Answered {
     ModelName model;
     StoredAnswer answer;
 };
-using Standing = std::variant<Unclaimed, Claimed, HeldBy, Answered, Error>;
+/// State of a request in the ledger, or the error that kept it from being read or claimed.
+using ClaimStatus = std::variant<Unclaimed, Claimed, HeldBy, Answered, Error>;
 
-/// One call that may run only once, and its row in the ledger.
+/// The ledger row of a call that may run only once.
 class RunRecord {
 public:
     RunRecord(wire::MainLoop& loop, LedgerController& ledger, const Call& call);
 
-    /// How the request stands. Never rejects: a ledger that is away is an error of the kind `not_run`.
-    [[nodiscard]] auto lookUp() -> kj::Promise<Standing>;
-    /// Takes the request for this attempt, or says who has it.
-    [[nodiscard]] auto claim(const AttemptId& attempt, const TargetId& target, Epoch epoch) -> kj::Promise<Standing>;
-
-    /// Gathers the answer.
-    auto head(int status, const std::string& contentType) -> void;
-    auto text(std::string_view text, std::uint32_t tokens) -> void;
-    /// Writes how it ended. True when the ledger has it.
+    /// The request's state in the ledger. Never rejects: an unavailable ledger gives an Error with the run state
+    /// `not_run`.
+    [[nodiscard]] auto lookUp() -> kj::Promise<ClaimStatus>;
+    /// Claims the request for this attempt if no other has claimed it; returns the resulting state. Never rejects, as
+    /// lookUp().
+    [[nodiscard]] auto claim(const AttemptId& attempt, const TargetId& target, Epoch epoch) -> kj::Promise<ClaimStatus>;
+
+    /// Collects the status and content type of the answer that finish() stores.
+    auto setHead(int status, const std::string& contentType) -> void;
+    /// Collects a part of the answer's text.
+    auto appendText(std::string_view text, std::uint32_t tokens) -> void;
+    /// Stores the collected answer and how it ended. Resolves to true if the ledger has it.
     [[nodiscard]] auto finish(const AnswerEnd& end) -> kj::Promise<bool>;
-    /// The claimed attempt did not and will not run.
-    [[nodiscard]] auto free() -> kj::Promise<void>;
+    /// Gives up the claim of an attempt that did not run and will not run.
+    [[nodiscard]] auto releaseClaim() -> kj::Promise<void>;
 
 private:
-    auto judge(LedgerRow row, const AttemptId& own) -> Standing;
-    auto bounded(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<Standing>;
+    auto statusOf(LedgerRow row, const AttemptId& own) -> ClaimStatus;
+    auto withTimeout(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<ClaimStatus>;
 
     wire::MainLoop& loop_;
     LedgerController& ledger_;
--- a/packages/router/entry/TargetLink.cpp
+++ b/packages/router/entry/TargetLink.cpp
@@ -7,20 +7,21 @@
 namespace {
 
 constexpr auto heartbeatPeriod = Duration(1s);
-// Three missed heartbeats: fewer would drop sessions of a process that is merely busy, more would leave callers in
-// silence on a connection that something in between has forgotten.
+// Three missed heartbeats. Fewer would drop the session of a process that is only busy; more would keep callers waiting
+// on a connection that a device in between no longer forwards.
 constexpr auto silenceLimit = Duration(3s);
-// A round trip between regions takes a tenth of this; more would cost the caller, who waits, his first token.
-constexpr auto probeLimit = Duration(500ms);
-constexpr auto connectLimit = Duration(2s);
-// Nobody waits on an idle session, and an entry holds up to a thousand of them: at a heartbeat each 20 s they alone
-// would take 14 of an entry's 16 KB a second. An unused session is closed after a minute anyway, and probed before it
-// is used again; so the slow heartbeat is for sessions that something keeps open longer.
+// A round trip between regions takes a tenth of this. A longer timeout would delay the first token of the caller that
+// waits for the probe.
+constexpr auto probeTimeout = Duration(500ms);
+constexpr auto connectTimeout = Duration(2s);
+// No call waits on an idle session, and an entry holds up to a thousand of them: a heartbeat every 20 s would use 14 of
+// an entry's 16 KB/s. An unused session is closed after a minute and probed before it is used again, so this period
+// only matters for sessions that are kept open longer for another reason.
 constexpr auto idleHeartbeatPeriod = Duration(60s);
 
 } // namespace
 
-/// Takes what the target process pushes.
+/// Receives the messages that the target process pushes.
 class TargetLink::Listener final : public wire::schema::EntryListener::Server {
 public:
     Listener(TargetLink& link, std::weak_ptr<char> alive)
@@ -32,7 +33,7 @@
     auto targetChanged(TargetChangedContext context) -> kj::Promise<void> override
     {
         if (alive_.lock()) {
-            link_.heard();
+            link_.noteActivity();
             link_.onState_(context.getParams().getState());
         }
         return kj::READY_NOW;
@@ -40,7 +41,7 @@
 
     auto ping(PingContext) -> kj::Promise<void> override
     {
-        // A link that gave this session up does not vouch for it.
+        // A link that has dropped this session must not confirm it as alive.
         KJ_REQUIRE(!alive_.expired(), "this session is over");
         return kj::READY_NOW;
     }
@@ -82,10 +83,10 @@
 auto TargetLink::session() -> kj::Promise<wire::schema::TargetSession::Client>
 {
     lastUsed_ = now();
-    if (session_ && now() - heardAt_ <= silenceLimit)
+    if (session_ && now() - lastActivityAt_ <= silenceLimit)
         return *session_;
-    // An idle session may have gone silent unnoticed. A start sent into it would be lost for seconds, and whether
-    // it ran would be unknown; so the target is first asked for a sign of life, and connected anew without one.
+    // The loss of an idle session may not have been noticed yet. A start sent on it would be lost for seconds, and
+    // whether it ran would be unknown. The session is therefore probed first and reopened if the probe fails.
     if (session_) {
         return probe().then([this, alive = std::weak_ptr(alive_)] {
             KJ_REQUIRE(!alive.expired(), "the link was closed");
@@ -111,7 +112,7 @@
                            return wire::enterDoor(kj::mv(door), secret_, name_, kj::heap<Listener>(*this, alive_));
                        })
                        .then([this, alive](wire::schema::TargetSession::Client session) {
-                           // The first heartbeat brings the target's epoch, without which no start is accepted.
+                           // The first heartbeat returns the target's epoch, without which no start is accepted.
                            auto first = session.heartbeatRequest().send();
                            return first.then([this, alive, session = kj::mv(session)](auto&& answer) mutable {
                                if (alive.lock())
@@ -119,13 +120,13 @@
                                return kj::mv(session);
                            });
                        });
-    auto timeout = loop_.sleep(connectLimit).then([]() -> wire::schema::TargetSession::Client {
+    auto timeout = loop_.sleep(connectTimeout).then([]() -> wire::schema::TargetSession::Client {
         KJ_FAIL_REQUIRE("connecting took too long");
     });
     return entered.exclusiveJoin(kj::mv(timeout))
         .then([this, alive](wire::schema::TargetSession::Client session) {
             if (alive.lock())
-                opened(kj::mv(session));
+                onOpened(kj::mv(session));
         })
         .catch_([this, alive](kj::Exception&& failed) {
             if (alive.lock())
@@ -134,11 +135,11 @@
         });
 }
 
-auto TargetLink::opened(wire::schema::TargetSession::Client session) -> void
+auto TargetLink::onOpened(wire::schema::TargetSession::Client session) -> void
 {
     session_ = kj::mv(session);
     connecting_.reset();
-    heardAt_ = now();
+    lastActivityAt_ = now();
     const auto generation = ++generation_;
     auto pair = kj::newPromiseAndFulfiller<void>();
     lost_ = std::make_unique<Lost>(Lost { kj::mv(pair.fulfiller), pair.promise.fork() });
@@ -146,7 +147,7 @@
         if (alive.lock() && generation == generation_)
             drop("closed by the peer");
     }));
-    nextBeat();
+    scheduleHeartbeat();
 }
 
 auto TargetLink::probe() -> kj::Promise<void>
@@ -157,61 +158,61 @@
         [this, alive, generation](auto&& answer) {
             if (!alive.lock() || generation != generation_)
                 return;
-            heard();
-            nextBeat();
+            noteActivity();
+            scheduleHeartbeat();
             onState_(answer.getState());
         },
         [this, alive, generation](kj::Exception&&) {
             if (alive.lock() && generation == generation_)
                 drop("lost while idle");
         });
-    auto silent = loop_.sleep(probeLimit).then([this, alive, generation] {
+    auto silent = loop_.sleep(probeTimeout).then([this, alive, generation] {
         if (alive.lock() && generation == generation_)
             drop("silent while idle");
     });
     return answered.exclusiveJoin(kj::mv(silent));
 }
 
-auto TargetLink::nextBeat() -> void
+auto TargetLink::scheduleHeartbeat() -> void
 {
     const auto period = hasWaiters() ? heartbeatPeriod : idleHeartbeatPeriod;
-    heartbeat_ = loop_.timers().after(period, [this] { beat(); });
+    heartbeat_ = loop_.timers().after(period, [this] { sendHeartbeat(); });
 }
 
 auto TargetLink::whenLost() -> kj::Promise<void>
 {
     if (!lost_)
         return kj::READY_NOW;
-    if (awaited_++ == 0) {
-        askedAt_ = {};
-        nextBeat();
+    if (waiters_++ == 0) {
+        unansweredSince_ = {};
+        scheduleHeartbeat();
     }
     return lost_->promise.addBranch().attach(kj::defer([this, alive = std::weak_ptr(alive_)] {
         if (!alive.lock())
             return;
-        --awaited_;
+        --waiters_;
         lastUsed_ = now();
     }));
 }
 
-auto TargetLink::beat() -> void
+auto TargetLink::sendHeartbeat() -> void
 {
-    // Silence counts from the first question without an answer: an idle session is quiet by design.
-    const auto asked = askedAt_ > heardAt_;
-    if (asked && now() - askedAt_ > silenceLimit)
+    // Silence is measured from the first heartbeat without an answer, since an idle session is quiet by design.
+    const auto unanswered = unansweredSince_ > lastActivityAt_;
+    if (unanswered && now() - unansweredSince_ > silenceLimit)
         return drop("silent");
-    nextBeat();
-    // The chunks of a running answer show that the target lives; a heartbeat beside them would say nothing more.
-    if (now() - heardAt_ < heartbeatPeriod)
+    scheduleHeartbeat();
+    // The chunks of a running answer already show that the target is alive, so no heartbeat is needed.
+    if (now() - lastActivityAt_ < heartbeatPeriod)
         return;
-    if (!asked)
-        askedAt_ = now();
+    if (!unanswered)
+        unansweredSince_ = now();
     auto alive = std::weak_ptr(alive_);
     loop_.spawn(session_->heartbeatRequest().send().then(
         [this, alive, generation = generation_](auto&& answer) {
             if (!alive.lock() || generation != generation_)
                 return;
-            heard();
+            noteActivity();
             onState_(answer.getState());
         },
         [](kj::Exception&&) {}));
@@ -225,7 +226,7 @@
     session_.reset();
     connecting_.reset();
     if (auto connection = std::exchange(connection_, nullptr)) {
-        // Freed in a later turn: the connection may be on the stack.
+        // Destroyed in a later turn of the loop, since a call of the connection may be on the stack.
         auto held = std::make_shared<std::unique_ptr<wire::Connection>>(std::move(connection));
         loop_.spawn(kj::evalLater([] {}).then([] { return kj::evalLater([] {}); }).attach(kj::heap(kj::mv(held))));
     }
--- a/packages/router/entry/TargetLink.h
+++ b/packages/router/entry/TargetLink.h
@@ -12,7 +12,8 @@
 
 namespace eelgrass::router {
 
-/// An entry's session with one target process: opened when first used, watched by heartbeats, opened anew after a loss.
+/// An entry's session with one target process. It is opened on first use, checked with heartbeats and reopened after a
+/// loss.
 class TargetLink {
 public:
     using OnState = std::function<void(wire::schema::TargetState::Reader)>;
@@ -21,29 +22,34 @@
         LoadQueueController* loads = nullptr);
     ~TargetLink();
 
-    /// The open session; opens one if there is none.
+    /// The open session; opens one if there is none. Rejects if the target process cannot be reached.
     [[nodiscard]] auto session() -> kj::Promise<wire::schema::TargetSession::Client>;
-    /// Kept when the session now open is lost. Whoever holds the promise awaits an answer on this session.
+    /// Resolves when the currently open session is lost; at once if none is open. While a caller holds the promise, the
+    /// session is checked with frequent heartbeats.
     [[nodiscard]] auto whenLost() -> kj::Promise<void>;
-    [[nodiscard]] auto hasWaiters() const noexcept -> bool { return awaited_ > 0; }
-    /// Something came from the target: as good as the answer to a heartbeat.
-    auto heard() noexcept -> void { heardAt_ = now(); }
+    /// Whether a promise of whenLost() is held, so that an answer is awaited on the session.
+    [[nodiscard]] auto hasWaiters() const noexcept -> bool { return waiters_ > 0; }
+    /// Records that a message arrived from the target; it counts like an answered heartbeat.
+    auto noteActivity() noexcept -> void { lastActivityAt_ = now(); }
     [[nodiscard]] auto host() const noexcept -> const platform::HostRecord& { return host_; }
     [[nodiscard]] auto isOpen() const noexcept -> bool { return session_.has_value(); }
     [[nodiscard]] auto lastUsed() const noexcept -> Moment { return lastUsed_; }
 
 private:
     class Listener;
+    /// Signals the loss of the open session to the holders of whenLost().
     struct Lost {
         kj::Own<kj::PromiseFulfiller<void>> fulfiller;
         kj::ForkedPromise<void> promise;
     };
 
     auto connect() -> kj::Promise<void>;
-    auto opened(wire::schema::TargetSession::Client session) -> void;
-    auto beat() -> void;
-    auto nextBeat() -> void;
+    auto onOpened(wire::schema::TargetSession::Client session) -> void;
+    auto sendHeartbeat() -> void;
+    auto scheduleHeartbeat() -> void;
+    /// Sends a heartbeat on an idle session and drops the session if no answer comes in time. Never rejects.
     auto probe() -> kj::Promise<void>;
+    /// Closes the connection and resolves the promises of whenLost().
     auto drop(const char* reason) -> void;
 
     wire::MainLoop& loop_;
@@ -51,18 +57,22 @@
     std::string secret_;
     std::string name_;
     OnState onState_;
-    /// Null for a link that takes no part in the order of loads.
+    /// Null if this link does not coordinate adapter loads.
     LoadQueueController* loads_;
     std::unique_ptr<wire::Connection> connection_;
     std::optional<wire::schema::TargetSession::Client> session_;
     std::unique_ptr<kj::ForkedPromise<void>> connecting_;
     std::unique_ptr<Lost> lost_;
+    /// Changes whenever a session is opened or lost; callbacks of an earlier session compare it and do nothing.
     std::uint64_t generation_ = 0;
     Timer heartbeat_;
-    Moment heardAt_ {};
-    Moment askedAt_ {};
-    std::size_t awaited_ = 0;
+    Moment lastActivityAt_ {};
+    /// When the oldest heartbeat without an answer was sent.
+    Moment unansweredSince_ {};
+    /// Promises of whenLost() that are held.
+    std::size_t waiters_ = 0;
     Moment lastUsed_ {};
+    /// Expires with the link; callbacks hold it weakly.
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
