--- a/packages/router/DaemonMain.cpp
+++ b/packages/router/DaemonMain.cpp
@@ -27,27 +27,29 @@
 
 using namespace eelgrass;
 
+/// Exit code for bad flags or settings.
 constexpr auto badUsage = 2;
 
-/// Leaves the call stack on standard error before the process ends: without it a crash says nothing of its cause.
-auto reportStack() -> void
+/// Prints the call stack to standard error, so that a crash of the process shows its cause.
+auto printStack() -> void
 {
-    constexpr auto mostFrames = 64;
-    auto frames = std::array<void*, mostFrames>();
-    const auto count = backtrace(frames.data(), mostFrames);
+    constexpr auto maxFrames = 64;
+    auto frames = std::array<void*, maxFrames>();
+    const auto count = backtrace(frames.data(), maxFrames);
     backtrace_symbols_fd(frames.data(), count, STDERR_FILENO);
 }
 
-auto reportCrashes() -> void
+/// Prints the call stack when the process ends by std::terminate or a fatal signal.
+auto installCrashHandlers() -> void
 {
     std::set_terminate([] {
-        reportStack();
+        printStack();
         std::abort();
     });
     auto action = (struct sigaction) {};
     action.sa_flags = static_cast<int>(SA_RESETHAND | SA_NODEFER);
     action.sa_handler = [](int signal) {
-        reportStack();
+        printStack();
         raise(signal);
     };
     for (const auto signal : { SIGSEGV, SIGBUS, SIGFPE, SIGILL })
@@ -64,7 +66,8 @@
     return text.str();
 }
 
-/// Prints what is wrong with the settings, or starts a role and runs it to its end; `prepare` sees loop and role first.
+/// Prints the problems of the settings, or runs a role until it stops. Calls `prepare` with the loop and the role
+/// before the role starts. Returns the exit code.
 template <typename Role, typename Settings, typename Prepare>
 auto run(const Checked<Settings>& checked, const std::string& process, const std::string& logLevel, Prepare prepare)
     -> int
@@ -82,8 +85,8 @@
         loop.onStopSignal([&] { role.stop(); });
         prepare(loop, role);
         role.start();
-        // Without taking role and loop apart: requests and sessions that are open at the end of a planned stop are
-        // events in the loop's queue, and a queue that is not empty made the stop end with an error or an abort.
+        // Exits without destroying the role and the loop: requests and sessions that are still open at a planned stop
+        // are events in the loop's queue, and destroying a non-empty queue ended the process with an error or an abort.
         std::exit(loop.run());
     } catch (const std::exception& error) {
         log::error("not started", { { "step", "connect" }, { "reason", error.what() } });
@@ -91,7 +94,8 @@
     }
 }
 
-/// A role of the users' machines: its settings file may be replaced while it runs.
+/// Runs a gateway or an agent. The settings file is read again on a reload signal; if it has problems, they are logged
+/// and the old settings stay in use.
 template <typename Role, typename Parse>
 auto serveReloadable(const std::string& file, const char* process, Parse parse) -> int
 {
@@ -100,15 +104,16 @@
     return run<Role>(
         checked, std::string(process) + ":" + host.name, host.logLevel, [&](wire::MainLoop& loop, Role& role) {
             loop.onReloadSignal([&] {
-                const auto fresh = parse(readFile(file).value_or(std::string()), file);
-                for (const auto& problem : fresh.problems)
-                    log::error("settings not taken", { { "key", problem.key }, { "reason", problem.reason } });
-                if (fresh.ok())
-                    role.reload(fresh.value);
+                const auto reloaded = parse(readFile(file).value_or(std::string()), file);
+                for (const auto& problem : reloaded.problems)
+                    log::error("settings rejected", { { "key", problem.key }, { "reason", problem.reason } });
+                if (reloaded.ok())
+                    role.reload(reloaded.value);
             });
         });
 }
 
+/// Runs an entry or a target. Their settings are read only at the start.
 template <typename Role> auto serve(const auto& checked, const char* process) -> int
 {
     const auto& common = checked.value.common;
@@ -119,7 +124,7 @@
 
 auto main(int argc, char** argv) -> int
 {
-    reportCrashes();
+    installCrashHandlers();
     absl::SetProgramUsageMessage(
         "The daemon of eelgrassrouter.\n\n  eelgrassrouterd --role=entry|target --settings=FILE [--check]");
     absl::ParseCommandLine(argc, argv);
--- a/packages/router/EntryRole.cpp
+++ b/packages/router/EntryRole.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr auto requestIdBytes = std::size_t(12);
-constexpr auto stopPoll = Duration(50ms);
-constexpr auto kib = std::size_t(1024);
+constexpr auto stopPollPeriod = Duration(50ms);
+constexpr auto bytesPerKiB = std::size_t(1024);
 
 auto newRequestId() -> RequestId { return RequestId(randomHex(requestIdBytes)); }
 
@@ -23,13 +23,13 @@
     , platform_(settings_.common.platform.address, settings_.common.platform.port)
     , config_(loop, platform_)
     , targets_(loop, platform_, settings_.common.secret, settings_.common.name)
-    , operators_(loop, settings_, config_, targets_, [this] { return status(); })
+    , operatorApi_(loop, settings_, config_, targets_, [this] { return status(); })
     , ledger_(loop, platform_)
     , quarantine_(loop, platform_)
-    , chain_(Authenticate(), Parse(), Resolve(), Authorize())
+    , filters_(Authenticate(), Parse(), Resolve(), Authorize())
     , server_(
-          settings_.listen.address, settings_.listen.port, settings_.bodyLimitKiB * kib,
-          [this](auto& exchange) { handle(exchange); }, std::chrono::seconds(settings_.callerSilenceS))
+          settings_.listen.address, settings_.listen.port, settings_.bodyLimitKiB * bytesPerKiB,
+          [this](auto& exchange) { handleRequest(exchange); }, std::chrono::seconds(settings_.callerSilenceS))
 {
 }
 
@@ -46,7 +46,7 @@
 
 auto EntryRole::ready() const noexcept -> bool { return config_.ready() && targets_.ready() && !stopping_; }
 
-auto EntryRole::handle(const wire::HttpExchangePtr& exchange) -> void
+auto EntryRole::handleRequest(const wire::HttpExchangePtr& exchange) -> void
 {
     const auto path = exchange->path();
     if (path == "/healthz")
@@ -56,7 +56,7 @@
     if (path == "/metrics")
         return exchange->respond(200, "text/plain; version=0.0.4", metrics_.text());
     if (path.starts_with("/admin/"))
-        return operators_.serve(exchange);
+        return operatorApi_.serve(exchange);
     serveCaller(exchange);
 }
 
@@ -74,7 +74,7 @@
     }
     auto refused = orElse(
         [&]() -> Result<bool> {
-            BOOST_LEAF_CHECK(chain_.apply(*call));
+            BOOST_LEAF_CHECK(filters_.apply(*call));
             return false;
         },
         [&](const Error& error) {
@@ -84,16 +84,16 @@
         });
     if (refused)
         return;
-    ++underWay_;
+    ++activeCalls_;
     auto relay = std::make_shared<Relay>(loop_, RelayControllers { targets_, ledger_, quarantine_, metrics_ }, call);
-    loop_.spawn(relay->run().then([this] { --underWay_; }));
+    loop_.spawn(relay->run().then([this] { --activeCalls_; }));
 }
 
 auto EntryRole::status() const -> Json
 {
     return { { "entry", settings_.common.name }, { "availability_zone", settings_.common.zone.str() },
         { "version", EELGRASS_VERSION }, { "config_version", config_.current()->version().value() },
-        { "adapters", config_.current()->adapterCount() }, { "ready", ready() }, { "under_way", underWay_ } };
+        { "adapters", config_.current()->adapterCount() }, { "ready", ready() }, { "under_way", activeCalls_ } };
 }
 
 auto EntryRole::stop() -> void
@@ -102,12 +102,12 @@
         return;
     stopping_ = true;
     log::info("leaving");
-    const auto quietFrom = now() + std::chrono::milliseconds(settings_.balancerDelayMs);
-    stopTimer_ = loop_.timers().every(stopPoll, [this, quietFrom] {
-        if (now() < quietFrom)
+    const auto closeAt = now() + std::chrono::milliseconds(settings_.balancerDelayMs);
+    stopTimer_ = loop_.timers().every(stopPollPeriod, [this, closeAt] {
+        if (now() < closeAt)
             return;
         server_.close();
-        if (underWay_ > 0)
+        if (activeCalls_ > 0)
             return;
         log::info("stopped");
         loop_.quit();
--- a/packages/router/EntryRole.h
+++ b/packages/router/EntryRole.h
@@ -14,19 +14,21 @@
 
 namespace eelgrass::router {
 
-/// An entry process: talks to callers and operators. It holds no state that could not be lost.
+/// An entry process: serves callers and operators. All of its state can be lost without harm.
 class EntryRole {
 public:
     EntryRole(wire::MainLoop& loop, EntrySettings settings);
 
+    /// Connects the controllers to the platform.
     auto start() -> void;
-    /// Tells the balancer, serves on for its delay, finishes what is under way, and quits the loop.
+    /// Stops gracefully: reports not ready, keeps serving until the balancer has noticed (`balancer_delay_ms`), then
+    /// closes the listening socket, finishes the calls in progress and quits the loop.
     auto stop() -> void;
 
     [[nodiscard]] auto port() const noexcept -> std::uint16_t { return server_.port(); }
 
 private:
-    auto handle(const wire::HttpExchangePtr& exchange) -> void;
+    auto handleRequest(const wire::HttpExchangePtr& exchange) -> void;
     auto serveCaller(const wire::HttpExchangePtr& exchange) -> void;
     [[nodiscard]] auto status() const -> Json;
     [[nodiscard]] auto ready() const noexcept -> bool;
@@ -37,11 +39,11 @@
     platform::PlatformClient platform_;
     ConfigController config_;
     TargetsController targets_;
-    OperatorApi operators_;
+    OperatorApi operatorApi_;
     LedgerController ledger_;
     QuarantineController quarantine_;
-    RequestChain chain_;
-    std::size_t underWay_ = 0;
+    RequestChain filters_;
+    std::size_t activeCalls_ = 0;
     bool stopping_ = false;
     Timer stopTimer_;
     wire::HttpServer server_;
--- a/packages/router/Metrics.cpp
+++ b/packages/router/Metrics.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// From a tenth of a millisecond, the cost of relaying, to ten minutes, the longest draft.
+// In seconds: from 0.1 ms, the cost of relaying, to 10 minutes, the duration of the longest answers.
 const auto timeBounds = prometheus::Histogram::BucketBoundaries { 0.0001, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.028,
     0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 30, 60, 120, 300, 600 };
-const auto shareBounds
+const auto ratioBounds
     = prometheus::Histogram::BucketBoundaries { 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 1 };
 const auto otherMember = std::string("other");
 
 using HistogramFamily = prometheus::Family<prometheus::Histogram>;
 
-/// The family of that name, registered on first use.
-auto familyOf(std::map<std::string, HistogramFamily*>& families, prometheus::Registry& registry,
+/// The family with this name; registered on first use.
+auto findOrRegister(std::map<std::string, HistogramFamily*>& families, prometheus::Registry& registry,
     const std::string& name) -> HistogramFamily&
 {
     auto& family = families[name];
@@ -27,8 +27,8 @@
 
 } // namespace
 
-Metrics::Metrics(std::size_t memberCap)
-    : memberCap_(memberCap)
+Metrics::Metrics(std::size_t maxMembers)
+    : maxMembers_(maxMembers)
 {
 }
 
@@ -37,14 +37,14 @@
     const auto found = members_.find(member.str());
     if (found != members_.end())
         return *found;
-    if (members_.size() >= memberCap_)
+    if (members_.size() >= maxMembers_)
         return otherMember;
     return *members_.insert(member.str()).first;
 }
 
 auto Metrics::series(const std::string& name, const MemberId& member, const RequestClass& requestClass) -> Series&
 {
-    return familyOf(times_, registry_, name)
+    return findOrRegister(histograms_, registry_, name)
         .Add({ { "member", memberLabel(member) }, { "class", requestClass.str() } }, timeBounds);
 }
 
@@ -61,12 +61,12 @@
 
 auto Metrics::observe(const std::string& name, const std::map<std::string, std::string>& labels, Duration time) -> void
 {
-    observe(familyOf(times_, registry_, name).Add(labels, timeBounds), time);
+    observe(findOrRegister(histograms_, registry_, name).Add(labels, timeBounds), time);
 }
 
-auto Metrics::observeRatio(const std::string& name, double share) -> void
+auto Metrics::observeRatio(const std::string& name, double ratio) -> void
 {
-    familyOf(times_, registry_, name).Add({}, shareBounds).Observe(share);
+    findOrRegister(histograms_, registry_, name).Add({}, ratioBounds).Observe(ratio);
 }
 
 auto Metrics::count(const std::string& name, const std::map<std::string, std::string>& labels, double by) -> void
--- a/packages/router/Metrics.h
+++ b/packages/router/Metrics.h
@@ -13,37 +13,42 @@
 
 namespace eelgrass::router {
 
-/// Figures of a process, as text for a metrics reader. Served by the process's own HTTP server.
+/// Metrics of a process, in the Prometheus text format. Served by the process's own HTTP server.
 ///
-/// Members beyond the cap share the member `other`, so that the page stays small however many there are.
+/// Members beyond the limit are counted under the label value `other`, which bounds the size of the page.
 class Metrics {
 public:
-    explicit Metrics(std::size_t memberCap);
+    /// `maxMembers`: members with label values of their own, in the order in which they first appear.
+    explicit Metrics(std::size_t maxMembers);
 
     using Series = prometheus::Histogram;
 
-    /// The histogram of one member and class, to be kept by who observes often: finding it costs more than observing.
+    /// The histogram of one member and class. Callers that observe often should keep the reference, since the lookup
+    /// costs more than an observation.
     [[nodiscard]] auto series(const std::string& name, const MemberId& member, const RequestClass& requestClass)
         -> Series&;
-    /// A time for one member and class; `name` is a metric's whole name, ending in `_seconds`.
+    /// Observes a time for one member and class. `name` is the full name of the metric and ends in `_seconds`.
     auto observe(const std::string& name, const MemberId& member, const RequestClass& requestClass, Duration time)
         -> void;
-    /// A time with arbitrary labels.
+    /// Observes a time under the given labels.
     auto observe(const std::string& name, const std::map<std::string, std::string>& labels, Duration time) -> void;
-    /// A share from 0 to 1, as how full an engine step was.
-    auto observeRatio(const std::string& name, double share) -> void;
+    /// Observes a ratio from 0 to 1, such as how full the batch of an engine step was.
+    auto observeRatio(const std::string& name, double ratio) -> void;
     static auto observe(Series& series, Duration time) -> void;
+    /// Increments a counter.
     auto count(const std::string& name, const std::map<std::string, std::string>& labels, double by = 1) -> void;
 
+    /// All metrics in the Prometheus text format.
     [[nodiscard]] auto text() const -> std::string;
 
 private:
     auto memberLabel(const MemberId& member) -> const std::string&;
 
-    std::size_t memberCap_;
+    std::size_t maxMembers_;
+    /// Members with label values of their own.
     std::set<std::string> members_;
     prometheus::Registry registry_;
-    std::map<std::string, prometheus::Family<prometheus::Histogram>*> times_;
+    std::map<std::string, prometheus::Family<prometheus::Histogram>*> histograms_;
     std::map<std::string, prometheus::Family<prometheus::Counter>*> counters_;
 };
 
--- a/packages/router/Router.h
+++ b/packages/router/Router.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Umbrella header of the router package: both roles, their filters and controllers.
+/// Umbrella header of the router package.
 #include "router/Configuration.h"
 #include "router/EntryRole.h"
 #include "router/Metrics.h"
--- a/packages/router/Settings.cpp
+++ b/packages/router/Settings.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr auto maxPort = std::numeric_limits<std::uint16_t>::max();
-constexpr auto minSecret = std::size_t(16);
-constexpr auto digestSize = std::size_t(64);
+constexpr auto minSecretLength = std::size_t(16);
+constexpr auto digestDigits = std::size_t(64);
 
 auto readEndpoint(MapReader& reader, const std::string& key, Endpoint& into, bool portRequired) -> void
 {
@@ -37,7 +37,7 @@
     common.zone = AvailabilityZone(zone);
     readEndpoint(reader, "platform", common.platform, true);
     reader.read("secret", common.secret, true);
-    if (!common.secret.empty() && common.secret.size() < minSecret)
+    if (!common.secret.empty() && common.secret.size() < minSecretLength)
         reader.noteAt("secret", "must have at least 16 characters");
     reader.read("log_level", common.logLevel);
     static const auto levels = std::set<std::string> { "DEBUG", "INFO", "WARN", "ERROR" };
@@ -47,18 +47,18 @@
 
 auto readOperators(MapReader& reader, EntrySettings& settings) -> void
 {
-    auto list = reader.take("operators", false);
-    if (!list)
+    auto operators = reader.take("operators", false);
+    if (!operators)
         return;
-    if (!list.IsSequence())
-        return reader.note(list, "operators", "must be a list");
-    for (const auto& item : list) {
+    if (!operators.IsSequence())
+        return reader.note(operators, "operators", "must be a list");
+    for (const auto& item : operators) {
         auto inner = reader.inside(item, "operators");
         auto name = std::string();
         auto digest = std::string();
         inner.read("name", name, true);
         inner.read("key_sha256", digest, true);
-        if (digest.size() != digestSize || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
+        if (digest.size() != digestDigits || digest.find_first_not_of("0123456789abcdef") != std::string::npos)
             inner.note(item, "key_sha256", "must be 64 hexadecimal digits in lower case");
         inner.finish();
         settings.operatorsByKeyDigest[digest] = name;
@@ -107,7 +107,8 @@
     inner.finish();
 }
 
-template <typename T> auto parse(const std::string& yaml, std::string_view file, auto readOwn) -> Checked<T>
+/// Reads the common settings, then those of a role with `readRole`.
+template <typename T> auto parse(const std::string& yaml, std::string_view file, auto readRole) -> Checked<T>
 {
     auto result = Checked<T>();
     try {
@@ -118,7 +119,7 @@
         }
         auto reader = MapReader(root, "", std::string(file), result.problems);
         readCommon(reader, result.value.common);
-        readOwn(reader, result.value);
+        readRole(reader, result.value);
         reader.finish();
     } catch (const YAML::Exception& error) {
         result.problems.push_back({ std::string(file), error.mark.line + 1, "", error.msg });
--- a/packages/router/Settings.h
+++ b/packages/router/Settings.h
@@ -12,18 +12,18 @@
 
 namespace eelgrass::router {
 
-/// An IP address and a port; port 0 lets the kernel choose.
+/// An IP address and a port. Port 0 lets the operating system choose one.
 struct Endpoint {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
 };
 
-/// What both roles are told at their start.
+/// Settings that both roles have.
 struct CommonSettings {
     std::string name;
     AvailabilityZone zone;
     Endpoint platform;
-    /// Shared by all of the system's processes; never logged.
+    /// Shared by all processes of the system for mutual authentication; never logged.
     std::string secret;
     std::string logLevel = "INFO";
 };
@@ -31,16 +31,16 @@
 /// Settings of `--role=entry`.
 struct EntrySettings {
     CommonSettings common;
-    /// Where callers, operators and the metrics reader come in.
+    /// Address for callers, operators and the metrics scraper.
     Endpoint listen;
-    /// Operators by the digest of their key.
+    /// Names of operators by the SHA-256 digest of their key, in lower-case hexadecimal.
     std::map<std::string, std::string> operatorsByKeyDigest;
     std::uint32_t bodyLimitKiB = 4096;
-    /// After this long without a byte either way a caller's connection is closed.
+    /// A caller's connection is closed after this many seconds without a byte in either direction.
     std::uint32_t callerSilenceS = 60;
-    /// How long the balancer takes to notice that this entry is not ready.
+    /// Time that the load balancer needs to notice that this entry is not ready.
     std::uint32_t balancerDelayMs = 2000;
-    /// Members with metrics of their own; the rest share one bucket.
+    /// Number of members with metrics of their own; all others share the label value `other`.
     std::uint32_t metricMembers = 100;
 };
 
@@ -49,21 +49,27 @@
     enum class Kind { Engine, Service };
 
     CommonSettings common;
-    /// Where entries come in.
+    /// Address for entries.
     Endpoint listen;
+    /// Address for the metrics scraper.
     Endpoint metrics;
     Kind kind = Kind::Engine;
-    /// Base model or plain service behind this process.
+    /// Name of the base model or plain service behind this process.
     std::string serves;
+    /// The engine or service itself.
     Endpoint target;
+    /// Adapters that the engine holds at once.
     std::uint32_t slots = 4;
+    /// Requests that run at once.
     std::uint32_t batch = 8;
-    /// Whether the engine refuses an order with an old fencing number.
+    /// Whether the engine refuses a request with an old fencing token.
     bool honoursFence = true;
+    /// Requests that may wait at this process.
     std::uint32_t queueLimit = 256;
 };
 
-/// Reads and checks a whole file; `file` names it in the problems.
+/// Parses and checks the text of a settings file. All problems are reported, each with its line; `file` is the name
+/// they are reported under.
 ///
 /// ```cpp
 /// auto settings = parseEntrySettings(text, "entry.yaml");
--- a/packages/router/WireTypes.cpp
+++ b/packages/router/WireTypes.cpp
@@ -32,20 +32,20 @@
     return RunState::Unknown;
 }
 
-auto kindFrom(wire::schema::StartRequest::Kind kind) -> AttemptRequest::Kind
+auto fromSchema(wire::schema::StartRequest::Kind kind) -> AttemptRequest::Kind
 {
-    using Schema = wire::schema::StartRequest::Kind;
-    if (kind == Schema::SERVICE)
+    using SchemaKind = wire::schema::StartRequest::Kind;
+    if (kind == SchemaKind::SERVICE)
         return AttemptRequest::Kind::Service;
-    return kind == Schema::CHAT ? AttemptRequest::Kind::Chat : AttemptRequest::Kind::Completion;
+    return kind == SchemaKind::CHAT ? AttemptRequest::Kind::Chat : AttemptRequest::Kind::Completion;
 }
 
 auto toSchema(AttemptRequest::Kind kind) -> wire::schema::StartRequest::Kind
 {
-    using Schema = wire::schema::StartRequest::Kind;
+    using SchemaKind = wire::schema::StartRequest::Kind;
     if (kind == AttemptRequest::Kind::Service)
-        return Schema::SERVICE;
-    return kind == AttemptRequest::Kind::Chat ? Schema::CHAT : Schema::COMPLETION;
+        return SchemaKind::SERVICE;
+    return kind == AttemptRequest::Kind::Chat ? SchemaKind::CHAT : SchemaKind::COMPLETION;
 }
 
 } // namespace
@@ -92,7 +92,7 @@
         .deadline = std::chrono::milliseconds(from.getDeadlineMs()),
         .neverRepeat = from.getNeverRepeat(),
         .epoch = Epoch(from.getTargetEpoch()),
-        .kind = kindFrom(from.getKind()),
+        .kind = fromSchema(from.getKind()),
         .body = textOf(from.getBody()),
         .method = from.getMethod(),
         .path = from.getPath(),
--- a/packages/router/WireTypes.h
+++ b/packages/router/WireTypes.h
@@ -11,7 +11,7 @@
 
 namespace eelgrass::router {
 
-/// What an entry asks a target process to run.
+/// An entry's request to a target process to start an attempt; `StartRequest` on the wire.
 struct AttemptRequest {
     enum class Kind { Completion, Chat, Service };
 
@@ -21,39 +21,45 @@
     /// Empty for a plain service.
     ModelName model;
     RequestClass requestClass;
-    /// Time left for the caller; zero for none.
+    /// Time left until the caller's deadline, when this is sent; zero if there is no deadline.
     std::chrono::milliseconds deadline {};
+    /// The request may run only once.
     bool neverRepeat = false;
+    /// The target's epoch as the entry knows it. The target process refuses a start with any other epoch.
     Epoch epoch;
     Kind kind = Kind::Completion;
-    /// JSON for an engine, the raw body for a service.
+    /// The JSON body for an engine, the raw body for a service.
     std::string body;
+    /// Method, path and content type are set for a service.
     std::string method;
     std::string path;
     std::string contentType;
-    /// Names member, adapter and body, to know a request that crashes targets.
+    /// Digest of member, adapter and body; identifies requests that crash engines.
     std::string digest;
-    /// What the caller has already of the answer, from an attempt whose engine died.
+    /// Tokens and text of the answer that the caller already has from an attempt whose engine died.
     std::uint32_t skipTokens = 0;
     std::string givenText;
-    /// How many engines died while they ran this digest.
+    /// Number of engines that died while they ran a request with this digest.
     std::uint32_t crashes = 0;
 };
 
-/// How an answer ended.
+/// How an answer ended, with its token counts and waiting times.
 struct AnswerEnd {
     std::string finishReason;
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
-    /// Set when the answer broke off or never began.
+    /// Set if the answer is incomplete or never began.
     std::optional<Error> error;
+    /// Time that the request waited for its adapter to load.
     Duration loadStall {};
     Duration queueWait {};
 };
 
+/// Conversions between bytes on the wire and text. dataOf() does not copy: `text` must outlive the result.
 [[nodiscard]] auto textOf(capnp::Data::Reader data) -> std::string;
 [[nodiscard]] auto dataOf(std::string_view text) -> capnp::Data::Reader;
 
+/// Conversions to and from the types of the wire schema.
 auto write(const AttemptRequest& request, wire::schema::StartRequest::Builder into) -> void;
 [[nodiscard]] auto read(wire::schema::StartRequest::Reader from) -> AttemptRequest;
 auto write(const Error& error, wire::schema::Refusal::Builder into) -> void;
--- a/packages/router/filters/RequestFilters.cpp
+++ b/packages/router/filters/RequestFilters.cpp
@@ -10,35 +10,37 @@
 
 constexpr auto bearer = std::string_view("Bearer ");
 constexpr auto servicePrefix = std::string_view("/services/");
-// Deeper JSON than any client library writes; a body nested further is an attack on the reader's stack.
-constexpr auto maxDepth = 32;
-constexpr auto maxTokensLimit = 131072;
+// Deeper than the JSON of any client library. A body with deeper nesting could overflow the stack of a recursive
+// parser.
+constexpr auto maxNestingDepth = 32;
+constexpr auto maxTokensBound = 131072;
 constexpr auto maxDeadline = std::chrono::milliseconds(3600000);
-constexpr auto maxKeySize = std::size_t(255);
+constexpr auto maxIdempotencyKeyLength = std::size_t(255);
 
 auto invalid(std::string message) -> boost::leaf::error_id
 {
     return fail(Error(Step::Parse, 400, "invalid_request", std::move(message)));
 }
 
-auto depthWithin(std::string_view text, int limit) -> bool
+/// Whether braces and brackets outside strings are nested at most `limit` deep.
+auto isNestingWithin(std::string_view text, int limit) -> bool
 {
     auto depth = 0;
     auto quoted = false;
     for (auto i = std::size_t(0); i < text.size(); ++i) {
-        const auto letter = text[i];
+        const auto character = text[i];
         if (quoted) {
-            if (letter == '\\')
+            if (character == '\\')
                 ++i;
-            else if (letter == '"')
+            else if (character == '"')
                 quoted = false;
             continue;
         }
-        if (letter == '"')
+        if (character == '"')
             quoted = true;
-        else if (letter == '{' || letter == '[')
+        else if (character == '{' || character == '[')
             ++depth;
-        else if (letter == '}' || letter == ']')
+        else if (character == '}' || character == ']')
             --depth;
         if (depth > limit)
             return false;
@@ -66,9 +68,9 @@
     if (messages == body.end() || !messages->is_array() || messages->empty())
         return invalid("messages must be a list that is not empty");
     for (const auto& message : *messages) {
-        const auto good = message.is_object() && message.contains("role") && message["role"].is_string()
+        const auto valid = message.is_object() && message.contains("role") && message["role"].is_string()
             && message.contains("content") && message["content"].is_string();
-        if (!good)
+        if (!valid)
             return invalid("each message must have a role and a content, both strings");
     }
     return {};
@@ -78,7 +80,7 @@
 {
     if (call.exchange->method() != "POST")
         return fail(Error(Step::Parse, 405, "method_not_allowed", "use POST"));
-    if (!depthWithin(call.exchange->body(), maxDepth))
+    if (!isNestingWithin(call.exchange->body(), maxNestingDepth))
         return invalid("the body is nested too deeply");
     call.body = Json::parse(call.exchange->body(), nullptr, false);
     if (!call.body.is_object())
@@ -93,7 +95,7 @@
     if (body.contains("max_tokens")) {
         const auto& limit = body["max_tokens"];
         if (!limit.is_number_unsigned() || limit.get<std::uint64_t>() < 1
-            || limit.get<std::uint64_t>() > maxTokensLimit)
+            || limit.get<std::uint64_t>() > maxTokensBound)
             return invalid("max_tokens must be a whole number from 1 to 131072");
     }
     if (body.contains("stream") && !body["stream"].is_boolean())
@@ -115,11 +117,12 @@
     return {};
 }
 
-auto marked(const ServiceRecord& service, const Call& call) -> bool
+/// Whether the service's configuration forbids repeating requests to this route.
+auto matchesNeverRepeat(const ServiceRecord& service, const Call& call) -> bool
 {
-    const auto name = call.exchange->method() + " " + call.servicePath;
+    const auto requested = call.exchange->method() + " " + call.servicePath;
     for (const auto& route : service.neverRepeat) {
-        if (name.starts_with(route))
+        if (requested.starts_with(route))
             return true;
     }
     return false;
@@ -130,7 +133,7 @@
 auto Authenticate::apply(Call& call) const -> Result<void>
 {
     const auto header = call.exchange->header("Authorization");
-    // The digest is what is looked up, so that the time of the search tells nothing of the key.
+    // Keys are looked up by digest, so that the duration of the lookup reveals nothing about a key.
     const auto* caller = header.starts_with(bearer)
         ? call.configuration->callerByKeyDigest(sha256Hex(header.substr(bearer.size())))
         : nullptr;
@@ -144,7 +147,7 @@
 {
     BOOST_LEAF_CHECK(parseDeadline(call));
     call.idempotencyKey = call.exchange->header("Idempotency-Key");
-    if (call.idempotencyKey.size() > maxKeySize)
+    if (call.idempotencyKey.size() > maxIdempotencyKeyLength)
         return invalid("Idempotency-Key must have at most 255 characters");
     const auto repeat = call.exchange->header("X-Eelgrass-Repeat");
     if (!repeat.empty() && repeat != "never")
@@ -179,7 +182,7 @@
             return fail(Error(
                 Step::Authorize, 404, "unknown_service", "there is no service '" + call.service + "' for this caller"));
         call.requestClass = service->requestClass;
-        call.neverRepeat = call.neverRepeat || marked(*service, call);
+        call.neverRepeat = call.neverRepeat || matchesNeverRepeat(*service, call);
     }
     if (!call.caller.requestClass.empty())
         call.requestClass = call.caller.requestClass;
--- a/packages/router/filters/RequestFilters.h
+++ b/packages/router/filters/RequestFilters.h
@@ -4,22 +4,23 @@
 
 namespace eelgrass::router {
 
-/// Finds the caller by its bearer key, of which the configuration holds only the digest.
+/// Identifies the caller by its bearer key. The configuration holds only digests of keys.
 struct Authenticate {
     auto apply(Call& call) const -> Result<void>;
 };
 
-/// Reads path, headers and body; refuses what is malformed before anything is spent on it.
+/// Reads path, headers and body. Refuses malformed requests before any other work is done for them.
 struct Parse {
     auto apply(Call& call) const -> Result<void>;
 };
 
-/// Checks that the caller may use what it names, and settles class, deadline and whether it may be repeated.
+/// Checks that the caller may use the requested service, and sets request class, deadline and whether the request may
+/// run only once.
 struct Authorize {
     auto apply(Call& call) const -> Result<void>;
 };
 
-/// Settles adapter and version once; the request keeps them however the configuration changes.
+/// Resolves the requested model to an adapter and a version. The request keeps them if the configuration changes later.
 struct Resolve {
     auto apply(Call& call) const -> Result<void>;
 };
@@ -27,6 +28,7 @@
 static_assert(Filter<Authenticate> && Filter<Parse> && Filter<Authorize> && Filter<Resolve>,
     "a filter must offer apply(Call&) -> Result<void>");
 
+/// The filters that every request of a caller passes.
 using RequestChain = FilterChain<Authenticate, Parse, Resolve, Authorize>;
 
 } // namespace eelgrass::router
