--- a/tests/integration/Callers.cpp
+++ b/tests/integration/Callers.cpp
@@ -24,7 +24,7 @@
         return rawRequest("/v1/completions", body.dump());
     }
 
-    /// Attempts that the engine runs or has queued.
+    /// Number of attempts that the engine runs or has queued.
     auto streams() -> std::size_t
     {
         const auto answer
@@ -46,12 +46,12 @@
     Deployment deployment;
 };
 
-auto event(const std::string& answer) -> std::size_t { return answer.find("data: {"); }
+auto firstEvent(const std::string& answer) -> std::size_t { return answer.find("data: {"); }
 
 } // namespace
 
-// The caller goes away after some tokens. The entry sees the closed connection, cancels the attempt at the target, and
-// the target cancels it at the engine: a hundred thousand tokens that nobody reads are not generated.
+// The caller disconnects after some tokens. The entry must notice the closed connection and cancel the attempt at the
+// target, and the target at the engine, so that the engine does not generate 100,000 tokens for nobody.
 BOOST_FIXTURE_TEST_CASE(a_caller_that_hangs_up_on_a_stream_cancels_its_attempt_at_the_engine, Fixture)
 {
     auto caller = RawCaller(deployment.entryUrl("e1"));
@@ -63,8 +63,8 @@
     BOOST_TEST(true);
 }
 
-// As above, but nothing was sent to the caller yet: the hang-up must be seen although nothing is written.
-BOOST_FIXTURE_TEST_CASE(a_caller_that_hangs_up_on_a_whole_answer_cancels_its_attempt_at_the_engine, Fixture)
+// As above, but before anything was sent to the caller: the closed connection must be noticed without a write.
+BOOST_FIXTURE_TEST_CASE(a_caller_that_hangs_up_on_a_non_streamed_answer_cancels_its_attempt_at_the_engine, Fixture)
 {
     auto caller = RawCaller(deployment.entryUrl("e1"));
     caller.send(longCall(false));
@@ -74,7 +74,7 @@
     BOOST_TEST(true);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_caller_that_hangs_up_while_it_waits_never_reaches_the_engine, Fixture)
+BOOST_FIXTURE_TEST_CASE(a_queued_request_whose_caller_hangs_up_is_never_started, Fixture)
 {
     deployment.addEngineTarget("t2", { "--batch=1" }, "batch: 1");
     deployment.list("t1", "gone");
@@ -93,24 +93,24 @@
     BOOST_TEST(deployment.control(control, Json::object())["started"].size() == 2U);
 }
 
-// Nothing comes from the engine for longer than two seconds. The caller is told so by comment lines, which a client
-// library passes over, and then gets its whole answer.
-BOOST_FIXTURE_TEST_CASE(a_stream_that_waits_is_never_silent, Fixture)
+// The engine sends nothing for more than two seconds. The caller must get comment lines, which client libraries skip,
+// and then its whole answer.
+BOOST_FIXTURE_TEST_CASE(a_waiting_stream_gets_comment_lines, Fixture)
 {
     engineStep(600000);
     auto caller = RawCaller(deployment.entryUrl("e1"));
     const auto body = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 }, { "stream", true } };
     caller.send(rawRequest("/v1/completions", body.dump()));
     const auto waiting = caller.receiveUntil(": ");
-    BOOST_TEST(event(waiting) == std::string::npos);
+    BOOST_TEST(firstEvent(waiting) == std::string::npos);
     caller.receiveUntil("\n: ");
     engineStep(1);
     const auto answer = caller.receiveUntil("[DONE]");
-    BOOST_TEST(answer.find("\n: ") < event(answer));
+    BOOST_TEST(answer.find("\n: ") < firstEvent(answer));
 }
 
-// The engine dies for good in the middle of an answer. The caller sees an error event that says the answer is partial,
-// and a proper end, never a silent cut that could pass for a whole answer.
+// The engine dies in the middle of an answer and does not return. The caller must get an error event with the run state
+// `partial` and a complete HTTP response. A bare disconnect could be taken for a whole answer.
 BOOST_FIXTURE_TEST_CASE(a_broken_stream_ends_with_an_error_event, Fixture)
 {
     auto caller = RawCaller(deployment.entryUrl("e1"));
@@ -125,9 +125,9 @@
     BOOST_TEST(answer.find("[DONE]") == std::string::npos);
 }
 
-// A caller takes its answer of some megabytes only after a while. Meanwhile more than one chunk waits at the entry for
-// room; when the caller reads on, each of them must come, and other callers are served all along.
-BOOST_FIXTURE_TEST_CASE(a_caller_that_reads_slowly_gets_its_whole_answer_and_holds_up_nobody, Fixture)
+// A caller reads its answer of 4 MB only after a while. Meanwhile several chunks wait in the entry for free buffer
+// space. When the caller reads on, every chunk must arrive, and other callers must be served throughout.
+BOOST_FIXTURE_TEST_CASE(a_slow_reader_gets_its_whole_answer_and_delays_no_other_caller, Fixture)
 {
     constexpr auto bodySize = std::size_t(4000000);
     constexpr auto smallBuffer = 4096;
@@ -145,7 +145,7 @@
     BOOST_TEST(answer.ends_with("\r\n0\r\n\r\n"));
 }
 
-BOOST_FIXTURE_TEST_CASE(every_answer_names_its_request_and_a_refusal_says_when_to_come_back, Fixture)
+BOOST_FIXTURE_TEST_CASE(responses_have_a_request_id_and_refusals_a_retry_after, Fixture)
 {
     for (const auto* path : { "/v1/completions", "/services/catalogue/x", "/nothing", "/admin/v1/status" }) {
         auto caller = RawCaller(deployment.entryUrl("e1"));
--- a/tests/integration/Control.cpp
+++ b/tests/integration/Control.cpp
@@ -20,7 +20,7 @@
     [[nodiscard]] auto json() const -> Json { return Json::parse(output, nullptr, false); }
 };
 
-/// A deployment with one engine target and `eelgrassctl` beside it.
+/// A deployment with one engine target and one entry, and a way to run `eelgrassctl` on it.
 struct Fixture {
     Fixture()
     {
@@ -40,18 +40,20 @@
         return path;
     }
 
-    [[nodiscard]] auto bare(const std::vector<std::string>& arguments) const -> Outcome
+    /// Runs `eelgrassctl` with just these arguments.
+    [[nodiscard]] auto runCtl(const std::vector<std::string>& arguments) const -> Outcome
     {
         auto process = Process("eelgrassctl", "eelgrassctl", arguments);
         const auto code = process.wait();
         return { static_cast<ExitCode>(code), process.output() };
     }
 
+    /// Runs `eelgrassctl` with the entry's address and the operator's key.
     [[nodiscard]] auto ctl(std::vector<std::string> arguments) const -> Outcome
     {
         arguments.push_back("--entry=" + deployment.entryUrl("e1"));
         arguments.push_back("--key-file=" + folder + "/key");
-        return bare(arguments);
+        return runCtl(arguments);
     }
 
     [[nodiscard]] auto contains(const Outcome& outcome, const std::string& text) const -> bool
@@ -65,11 +67,11 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(config_get_prints_the_document_in_force, Fixture)
+BOOST_FIXTURE_TEST_CASE(config_get_prints_the_current_configuration, Fixture)
 {
-    const auto got = ctl({ "config", "get", "--json" });
-    BOOST_TEST((got.code == ExitCode::Done));
-    BOOST_TEST(got.json()["adapters"]["life"]["in_force"] == 2);
+    const auto current = ctl({ "config", "get", "--json" });
+    BOOST_TEST((current.code == ExitCode::Done));
+    BOOST_TEST(current.json()["adapters"]["life"]["in_force"] == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(config_patch_is_accepted_once_and_then_stale, Fixture)
@@ -86,7 +88,7 @@
     BOOST_TEST((ctl({ "config", "patch", bad, "--against=2" }).code == ExitCode::Refused));
 }
 
-BOOST_FIXTURE_TEST_CASE(config_history_names_who_changed_what, Fixture)
+BOOST_FIXTURE_TEST_CASE(config_history_lists_the_operator_of_each_change, Fixture)
 {
     const auto history = ctl({ "config", "history", "--json" });
     BOOST_TEST((history.code == ExitCode::Done));
@@ -94,7 +96,7 @@
     BOOST_TEST(contains(ctl({ "config", "history" }), "operator"));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_adapter_is_created_versioned_and_allowed_and_then_answers, Fixture)
+BOOST_FIXTURE_TEST_CASE(a_created_versioned_and_allowed_adapter_serves_requests, Fixture)
 {
     BOOST_TEST((
         ctl({ "adapters", "create", "seal", "--base=base", "--digest=d1", "--allow=armor-b" }).code == ExitCode::Done));
@@ -122,8 +124,8 @@
     BOOST_TEST(contains(ctl({ "status" }), "t1"));
 }
 
-// An operator drains a target. From the next placement on it gets nothing new at any entry that has the new
-// configuration; the caller is told not_run and when to come back, until the operator takes it back.
+// An operator drains the only target. An entry that has the new configuration must place nothing on it any more and
+// refuse requests as `not_run` with a time to retry, until the operator undoes the drain.
 BOOST_FIXTURE_TEST_CASE(a_drained_target_gets_no_new_work_until_the_drain_is_undone, Fixture)
 {
     const auto body = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 1 } };
@@ -138,12 +140,12 @@
     BOOST_TEST(deployment.complete("e1", body).status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(explain_says_where_a_request_would_go_and_why, Fixture)
+BOOST_FIXTURE_TEST_CASE(explain_reports_the_placement_of_a_request_and_its_reasons, Fixture)
 {
-    const auto told = ctl({ "explain", "life", "--member=armor-a", "--json" });
-    BOOST_TEST((told.code == ExitCode::Done));
-    BOOST_TEST(told.json()["target"] == "t1");
-    BOOST_TEST(told.json()["candidates"][0]["reason"].is_string());
+    const auto result = ctl({ "explain", "life", "--member=armor-a", "--json" });
+    BOOST_TEST((result.code == ExitCode::Done));
+    BOOST_TEST(result.json()["target"] == "t1");
+    BOOST_TEST(result.json()["candidates"][0]["reason"].is_string());
     BOOST_TEST((ctl({ "explain", "life", "--member=armor-b" }).code == ExitCode::NotFound));
     BOOST_TEST(contains(ctl({ "explain", "life" }), "would go to t1"));
 }
@@ -151,19 +153,19 @@
 BOOST_FIXTURE_TEST_CASE(check_lists_every_problem_of_a_file, Fixture)
 {
     const auto bad = write("bad.yaml", "name: e1\nlisten: { port: 70000 }\ntypo: 1\n");
-    const auto told = bare({ "check", bad, "--json" });
-    BOOST_TEST((told.code == ExitCode::Usage));
-    BOOST_TEST(told.json()["problems"].size() >= 3U);
-    BOOST_TEST((bare({ "check", folder + "/none.yaml" }).code == ExitCode::Usage));
+    const auto result = runCtl({ "check", bad, "--json" });
+    BOOST_TEST((result.code == ExitCode::Usage));
+    BOOST_TEST(result.json()["problems"].size() >= 3U);
+    BOOST_TEST((runCtl({ "check", folder + "/none.yaml" }).code == ExitCode::Usage));
 }
 
-BOOST_FIXTURE_TEST_CASE(scripts_can_tell_the_failures_apart, Fixture)
+BOOST_FIXTURE_TEST_CASE(exit_codes_distinguish_the_failures, Fixture)
 {
     static_cast<void>(write("wrong", "not-the-key"));
     const auto entry = "--entry=" + deployment.entryUrl("e1");
-    BOOST_TEST((bare({ "status", entry, "--key-file=" + folder + "/wrong" }).code == ExitCode::NotAllowed));
-    BOOST_TEST((bare({ "status", entry }).code == ExitCode::Usage));
-    BOOST_TEST((bare({ "status", "--entry=http://127.0.0.1:1", "--key-file=" + folder + "/key" }).code
+    BOOST_TEST((runCtl({ "status", entry, "--key-file=" + folder + "/wrong" }).code == ExitCode::NotAllowed));
+    BOOST_TEST((runCtl({ "status", entry }).code == ExitCode::Usage));
+    BOOST_TEST((runCtl({ "status", "--entry=http://127.0.0.1:1", "--key-file=" + folder + "/key" }).code
         == ExitCode::Unavailable));
     BOOST_TEST((ctl({ "no", "such", "command" }).code == ExitCode::Usage));
 }
--- a/tests/integration/Golden.cpp
+++ b/tests/integration/Golden.cpp
@@ -25,8 +25,8 @@
     Deployment deployment;
 };
 
-/// Compares with the golden file; `./run golden` writes it instead.
-auto compare(const std::string& name, const Session& session) -> void
+/// Compares the session with its golden file; with EELGRASS_WRITE_GOLDEN (`./run golden`) writes that file instead.
+auto compareWithGolden(const std::string& name, const Session& session) -> void
 {
     const auto* folder = std::getenv("EELGRASS_GOLDEN");
     const auto path = std::string(folder ? folder : "tests/golden") + "/" + name + ".txt";
@@ -48,7 +48,7 @@
     auto session = this->session();
     session.ask("/v1/completions", R"({"model":"life","prompt":"6205 at 3 kN","max_tokens":3})");
     session.ask("/v1/completions", R"({"model":"life@1","prompt":"6205 at 3 kN","max_tokens":3,"stream":true})");
-    compare("completions", session);
+    compareWithGolden("completions", session);
 }
 
 BOOST_FIXTURE_TEST_CASE(chat, Fixture)
@@ -57,7 +57,7 @@
     auto session = this->session();
     session.ask("/v1/chat/completions", R"({"model":"mode",)" + messages + "}");
     session.ask("/v1/chat/completions", R"({"model":"mode","stream":true,)" + messages + "}");
-    compare("chat", session);
+    compareWithGolden("chat", session);
 }
 
 BOOST_FIXTURE_TEST_CASE(services, Fixture)
@@ -66,7 +66,7 @@
     session.ask("/services/catalogue/items?bore=25", "6205");
     session.ask("/services/catalogue/items?status=409", "6205");
     session.ask("/services/none/items", "6205");
-    compare("services", session);
+    compareWithGolden("services", session);
 }
 
 BOOST_FIXTURE_TEST_CASE(refusals, Fixture)
@@ -81,24 +81,24 @@
     session.ask("/v1/completions", "", {}, "GET");
     session.ask("/v1/other", "{}");
     session.ask("/v1/completions", "", { { "Content-Length", "99999999" } });
-    compare("refusals", session);
+    compareWithGolden("refusals", session);
 }
 
 BOOST_FIXTURE_TEST_CASE(operators, Fixture)
 {
-    const auto against = [](const char* version) { return RawHeaders { operatorHeader, { "If-Match", version } }; };
+    const auto ifMatch = [](const char* version) { return RawHeaders { operatorHeader, { "If-Match", version } }; };
     const auto patch = R"({"classes":{"report":{"deadline_ms":9000}}})";
     auto session = this->session();
     session.ask("/admin/v1/config", "", {}, "GET");
     session.ask("/admin/v1/config", patch, { operatorHeader }, "PATCH");
-    session.ask("/admin/v1/config", patch, against("\"0\""), "PATCH");
-    session.ask("/admin/v1/config", R"({"classes":{"report":7}})", against("\"1\""), "PATCH");
-    session.ask("/admin/v1/config", patch, against("\"1\""), "PATCH");
+    session.ask("/admin/v1/config", patch, ifMatch("\"0\""), "PATCH");
+    session.ask("/admin/v1/config", R"({"classes":{"report":7}})", ifMatch("\"1\""), "PATCH");
+    session.ask("/admin/v1/config", patch, ifMatch("\"1\""), "PATCH");
     session.ask("/admin/v1/adapters/life", "", { operatorHeader }, "GET");
     session.ask("/admin/v1/targets/t1/drain", "", { operatorHeader });
     session.ask("/v1/completions", R"({"model":"life","prompt":"p"})");
     session.ask("/admin/v1/targets/t1/drain", "", { operatorHeader }, "DELETE");
     session.ask("/admin/v1/config/history", "", { operatorHeader }, "GET");
     session.ask("/admin/v1/other", "", { operatorHeader }, "GET");
-    compare("operators", session);
+    compareWithGolden("operators", session);
 }
--- a/tests/integration/Logs.cpp
+++ b/tests/integration/Logs.cpp
@@ -14,15 +14,15 @@
 constexpr auto serviceBody = "the-body-of-a-member";
 constexpr auto query = "the-query-of-a-member";
 
-auto stopped(Process& process) -> std::string
+auto stopAndReadOutput(Process& process) -> std::string
 {
     process.signal(SIGTERM);
     process.wait();
     return process.output();
 }
 
-/// Prompts, answers, refusals, a hang-up, a service that is gone and an operator's patch.
-auto useEverything(Deployment& deployment) -> void
+/// Causes answers, refusals, a disconnect, a failed service call and an operator's patch.
+auto sendVariousRequests(Deployment& deployment) -> void
 {
     const auto body = [](const char* model) {
         return Json { { "model", model }, { "prompt", prompt }, { "max_tokens", 3 } };
@@ -46,9 +46,9 @@
 
 } // namespace
 
-// Logs are read by more people than may read a member's work, and are kept longer than keys. Whatever happens to a
-// request, at the finest level, neither keys nor the shared secret nor anything a caller sent may be in them.
-BOOST_AUTO_TEST_CASE(no_key_and_nothing_that_a_caller_sent_is_in_the_logs_at_debug)
+// Logs are read by people who may not see a member's data, and are stored for longer than keys are valid. Whatever
+// happens to a request, even the debug log must contain no key, no shared secret and nothing that a caller sent.
+BOOST_AUTO_TEST_CASE(debug_logs_contain_no_keys_and_no_request_data)
 {
     auto deployment = Deployment();
     deployment.logLevel = "DEBUG";
@@ -56,16 +56,16 @@
     deployment.addServiceTarget("s1", "catalogue");
     deployment.addEntry("e1");
     deployment.configure({ "e1" });
-    useEverything(deployment);
+    sendVariousRequests(deployment);
     auto logs = std::string();
     for (const auto* name : { "e1", "t1", "s1" })
-        logs += stopped(deployment.target(name));
+        logs += stopAndReadOutput(deployment.target(name));
     for (const auto* secret : { callerKey, rivalKey, operatorKey, sharedSecret, prompt, serviceBody, query })
         BOOST_TEST(logs.find(secret) == std::string::npos, secret);
     BOOST_TEST(logs.find("request over") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_line_is_json_and_names_request_member_adapter_attempt_and_peer)
+BOOST_AUTO_TEST_CASE(log_lines_are_json_with_request_member_adapter_attempt_and_peer)
 {
     auto deployment = Deployment();
     deployment.logLevel = "DEBUG";
@@ -74,7 +74,7 @@
     deployment.configure({ "e1" });
     deployment.complete("e1", { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 } });
     auto fields = Json::object();
-    auto lines = std::istringstream(stopped(deployment.entry("e1")));
+    auto lines = std::istringstream(stopAndReadOutput(deployment.entry("e1")));
     for (auto line = std::string(); std::getline(lines, line);) {
         const auto json = Json::parse(line, nullptr, false);
         BOOST_TEST(json.is_object(), line);
--- a/tests/integration/LongAnswers.cpp
+++ b/tests/integration/LongAnswers.cpp
@@ -5,11 +5,11 @@
 using namespace eelgrass;
 using namespace eelgrass::tests;
 
-// The caller reads a draft that streams for longer than the target process bears silence on a session.
-// The entry sends no heartbeats while chunks come, since they show that the target lives. The target process must take
-// the acknowledgements of its chunks for signs of life too; else it drops the session in the middle of the answer, each
-// few seconds anew, and every running answer of that entry must be resumed.
-BOOST_AUTO_TEST_CASE(a_session_lasts_as_long_as_the_answer_that_flows_over_it)
+// An answer streams for longer than a target process tolerates silence on a session. The entry sends no heartbeats
+// while chunks arrive, since the chunks show that the target is alive. The target process must count the
+// acknowledgements of its chunks as activity as well. Otherwise it drops the session every few seconds, and all running
+// answers of that entry have to be resumed.
+BOOST_AUTO_TEST_CASE(a_session_stays_open_while_chunks_are_sent_on_it)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1", { "--step_us=20000" });
--- a/tests/integration/PlannedStops.cpp
+++ b/tests/integration/PlannedStops.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto callers = 6;
 
-/// Callers that ask one after another until they are told to stop; every refusal is kept.
+/// Concurrent callers that send one request after another until finish(). Every failure is recorded.
 class Load {
 public:
     Load(Deployment& deployment, std::vector<std::string> entries)
@@ -18,30 +18,31 @@
     {
         auto all = kj::heapArrayBuilder<kj::Promise<void>>(callers);
         for (auto caller = 0; caller < callers; ++caller)
-            all.add(ask(caller, 0));
+            all.add(sendNext(caller, 0));
         running_ = kj::joinPromises(all.finish()).eagerlyEvaluate(nullptr);
     }
 
-    /// Entries that the balancer passes calls to.
-    auto use(std::vector<std::string> entries) -> void { entries_ = std::move(entries); }
+    /// Sets the entries that callers send to, as a load balancer would.
+    auto setEntries(std::vector<std::string> entries) -> void { entries_ = std::move(entries); }
     [[nodiscard]] auto answered() const -> int { return answered_; }
-    auto runFor(int more) -> void
+    /// Waits for so many further answers.
+    auto awaitAnswers(int count) -> void
     {
-        const auto until = answered_ + more;
+        const auto until = answered_ + count;
         await(deployment_, [&] { return answered_ >= until; });
     }
-    /// What went wrong, one line each.
+    /// Stops the callers; returns the recorded failures, one line each.
     auto finish() -> std::string
     {
-        over_ = true;
+        stopping_ = true;
         deployment_.loop.wait(kj::mv(running_));
-        return problems_;
+        return failures_;
     }
 
 private:
-    auto ask(int caller, int turn) -> kj::Promise<void>
+    auto sendNext(int caller, int turn) -> kj::Promise<void>
     {
-        if (over_)
+        if (stopping_)
             return kj::READY_NOW;
         const auto prompt = "p" + std::to_string(caller) + "." + std::to_string(turn);
         const auto body = Json { { "model", turn % 2 ? "life" : "mode" }, { "prompt", prompt }, { "max_tokens", 30 } };
@@ -53,24 +54,24 @@
                     const auto whole = answer.status == 200
                         && Json::parse(answer.body)["choices"][0]["text"] == expected(model, prompt, 30);
                     if (!whole)
-                        problems_ += std::to_string(answer.status) + " " + answer.body + "\n";
+                        failures_ += std::to_string(answer.status) + " " + answer.body + "\n";
                 },
-                [this](kj::Exception&& broken) { problems_ += std::string(broken.getDescription().cStr()) + "\n"; })
+                [this](kj::Exception&& failure) { failures_ += std::string(failure.getDescription().cStr()) + "\n"; })
             .then([this, caller, turn] {
                 ++answered_;
-                return ask(caller, turn + 1);
+                return sendNext(caller, turn + 1);
             });
     }
 
     Deployment& deployment_;
     std::vector<std::string> entries_;
     int answered_ = 0;
-    bool over_ = false;
-    std::string problems_;
+    bool stopping_ = false;
+    std::string failures_;
     kj::Promise<void> running_ = nullptr;
 };
 
-auto seenLive(Deployment& deployment, const std::string& entry, const std::string& target) -> bool
+auto isListedLive(Deployment& deployment, const std::string& entry, const std::string& target) -> bool
 {
     const auto status = deployment.status(entry);
     return std::any_of(status["targets"].begin(), status["targets"].end(),
@@ -79,10 +80,11 @@
 
 } // namespace
 
-// Callers notice nothing while every process of the system is replaced, one after another, under load.
-// A target refuses new attempts and finishes those it has; an entry tells the balancer, serves on for its delay, and
-// finishes. The platform's list goes on showing a target that has left for a while; entries know better by its push.
-BOOST_AUTO_TEST_CASE(a_rolling_replacement_of_everything_is_not_noticed)
+// Every process of the system is restarted, one after another, under load, and no request may fail. A stopping target
+// refuses new attempts and finishes those it has. A stopping entry reports not ready, keeps serving for the balancer's
+// delay and finishes its calls. The platform's list still shows a stopped target for a while; the entries must rely on
+// the state that the target itself pushed.
+BOOST_AUTO_TEST_CASE(a_rolling_restart_of_all_processes_fails_no_request)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -91,36 +93,37 @@
     deployment.addEntry("e2");
     deployment.configure({ "e1", "e2" });
     auto load = Load(deployment, { "e1", "e2" });
-    load.runFor(20);
+    load.awaitAnswers(20);
     for (const auto* target : { "t1", "t2" }) {
         deployment.target(target).signal(SIGTERM);
-        // Asked for twice, as a nervous operator does.
+        // An operator may send the signal again; the second one must not end the process early.
         deployment.target(target).signal(SIGTERM);
-        load.runFor(20);
+        load.awaitAnswers(20);
         await(deployment, [&] { return deployment.target(target).ended(); });
         BOOST_TEST(deployment.target(target).wait() == 0);
         deployment.restartTarget(target);
-        // Whoever replaces targets one after another waits until the newcomer is seen, or there is none left.
+        // A rolling restart must wait until the entries see the new process before it stops the next target. Otherwise
+        // the entries can be left without any target.
         for (const auto* entry : { "e1", "e2" })
-            await(deployment, [&] { return seenLive(deployment, entry, target); });
-        load.runFor(20);
+            await(deployment, [&] { return isListedLive(deployment, entry, target); });
+        load.awaitAnswers(20);
     }
     for (const auto* entry : { "e1", "e2" }) {
         deployment.entry(entry).signal(SIGTERM);
-        load.use({ std::string(entry) == "e1" ? "e2" : "e1" });
+        load.setEntries({ std::string(entry) == "e1" ? "e2" : "e1" });
         await(deployment, [&] { return deployment.entry(entry).ended(); });
         BOOST_TEST(deployment.entry(entry).wait() == 0);
         deployment.restartEntry(entry);
-        load.use({ "e1", "e2" });
-        load.runFor(20);
+        load.setEntries({ "e1", "e2" });
+        load.awaitAnswers(20);
     }
     BOOST_TEST(load.finish() == "");
 }
 
-// The caller of a long draft gets all of it although its target is asked to stop half way, twice.
-// The target finishes the draft and only then ends; nothing new reaches it meanwhile, though the list still calls it
-// live.
-BOOST_AUTO_TEST_CASE(a_leaving_target_finishes_a_long_draft_and_takes_nothing_new)
+// A target is told to stop, twice, while it runs a long answer. It must finish that answer before it ends, and the
+// caller must get all of it. No new attempt may reach the target meanwhile, although the platform's list still shows it
+// as live.
+BOOST_AUTO_TEST_CASE(a_stopping_target_finishes_its_answer_and_accepts_no_new_attempt)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -136,7 +139,7 @@
         return !busy.empty();
     });
     deployment.target(busy).signal(SIGTERM);
-    // The signal has arrived, and nothing may be started from here on.
+    // From here on the target has handled the signal and may start nothing new.
     deployment.target(busy).waitForLog("leaving");
     deployment.target(busy).signal(SIGTERM);
     for (auto turn = 0; turn < 5; ++turn)
--- a/tests/integration/SilentConnections.cpp
+++ b/tests/integration/SilentConnections.cpp
@@ -9,10 +9,10 @@
 
 } // namespace
 
-// The caller waits for a long draft and gets all of it, once.
-// In the middle of it the connection between entry and target process goes silent for good while new ones work.
-// The entry misses heartbeats, connects anew and resumes at the chunk that it lacks; nothing is run twice.
-BOOST_AUTO_TEST_CASE(an_answer_goes_on_when_the_entrys_connection_goes_silent)
+// In the middle of a long answer, the connection between entry and target process goes silent for good, while new
+// connections work. The entry must notice the missing heartbeats, reconnect and resume at the first missing chunk. The
+// caller must get the whole answer, and the request must run only once.
+BOOST_AUTO_TEST_CASE(an_answer_continues_after_the_connection_to_its_target_goes_silent)
 {
     auto deployment = Deployment({ Leg::Target });
     deployment.addEngineTarget("t1");
@@ -25,10 +25,9 @@
     BOOST_TEST(startedAt(deployment, "t1").size() == 1U);
 }
 
-// The caller waits for a long draft and gets all of it, in order.
-// Between target process and entry, chunks of the answer overtake one another.
-// The entry puts them back in order by their numbers before the caller sees any.
-BOOST_AUTO_TEST_CASE(chunks_that_overtake_one_another_reach_the_caller_in_order)
+// Chunks of a long answer arrive at the entry out of order. The entry must restore the order by their numbers before it
+// writes them to the caller.
+BOOST_AUTO_TEST_CASE(reordered_chunks_reach_the_caller_in_order)
 {
     auto deployment = Deployment({ Leg::Target });
     deployment.addEngineTarget("t1");
--- a/tests/integration/WholePath.cpp
+++ b/tests/integration/WholePath.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(whole_and_streamed_answers_come_from_the_adapter_and_version_asked_for)
+BOOST_AUTO_TEST_CASE(whole_and_streamed_answers_come_from_the_requested_adapter_and_version)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -43,6 +43,6 @@
     BOOST_TEST(service.status == 200);
     BOOST_TEST(Json::parse(service.body)["body"] == "6205");
 
-    const auto stranger = deployment.call("e1", "/v1/completions", "{}", { { "Authorization", "Bearer wrong" } });
-    BOOST_TEST(stranger.status == 401);
+    const auto unauthorized = deployment.call("e1", "/v1/completions", "{}", { { "Authorization", "Bearer wrong" } });
+    BOOST_TEST(unauthorized.status == 401);
 }
