--- a/packages/router/Metrics.cpp
+++ b/packages/router/Metrics.cpp
@@ -69,12 +69,12 @@
     findOrRegister(histograms_, registry_, name).Add({}, ratioBounds).Observe(ratio);
 }
 
-auto Metrics::count(const std::string& name, const std::map<std::string, std::string>& labels, double by) -> void
+auto Metrics::count(const std::string& name, const std::map<std::string, std::string>& labels, double increment) -> void
 {
     auto& family = counters_[name];
     if (!family)
         family = &prometheus::BuildCounter().Name(name).Register(registry_);
-    family->Add(labels).Increment(by);
+    family->Add(labels).Increment(increment);
 }
 
 auto Metrics::text() const -> std::string { return prometheus::TextSerializer().Serialize(registry_.Collect()); }
--- a/packages/router/Metrics.h
+++ b/packages/router/Metrics.h
@@ -36,7 +36,7 @@
     auto observeRatio(const std::string& name, double ratio) -> void;
     static auto observe(Series& series, Duration time) -> void;
     /// Increments a counter.
-    auto count(const std::string& name, const std::map<std::string, std::string>& labels, double by = 1) -> void;
+    auto count(const std::string& name, const std::map<std::string, std::string>& labels, double increment = 1) -> void;
 
     /// All metrics in the Prometheus text format.
     [[nodiscard]] auto text() const -> std::string;
--- a/packages/router/entry/AnswerWriter.cpp
+++ b/packages/router/entry/AnswerWriter.cpp
@@ -48,9 +48,9 @@
         return;
     call_->exchange->setHeader("X-Eelgrass-Adapter", call_->model.adapter.str());
     call_->exchange->setHeader("X-Eelgrass-Version", std::to_string(call_->model.version.value()));
-    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
+    const auto isChat = call_->kind == AttemptRequest::Kind::Chat;
     auto head
-        = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion.chunk" : "text_completion" },
+        = Json { { "id", call_->requestId.str() }, { "object", isChat ? "chat.completion.chunk" : "text_completion" },
               { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) } };
     eventPrefix_ = head.dump();
     eventPrefix_.pop_back();
@@ -73,8 +73,8 @@
     if (responseBegun_)
         return;
     responseBegun_ = true;
-    const auto service = call_->kind == AttemptRequest::Kind::Service;
-    call_->exchange->begin(status_, service ? contentType_ : "text/event-stream");
+    const auto isService = call_->kind == AttemptRequest::Kind::Service;
+    call_->exchange->begin(status_, isService ? contentType_ : "text/event-stream");
 }
 
 auto AnswerWriter::sendCommentIfIdle() -> void
@@ -94,10 +94,10 @@
 
 auto AnswerWriter::eventText(std::string_view text, const std::string& finishReason) -> std::string
 {
-    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
+    const auto isChat = call_->kind == AttemptRequest::Kind::Chat;
     auto escaped = Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
     auto out = "data: " + eventPrefix_ + R"(,"choices":[{"index":0,)";
-    out += chat ? R"("delta":{"content":)" + escaped + "}" : R"("text":)" + escaped;
+    out += isChat ? R"("delta":{"content":)" + escaped + "}" : R"("text":)" + escaped;
     out += R"(,"finish_reason":)" + (finishReason.empty() ? "null" : '"' + finishReason + '"') + "}]}\n\n";
     return out;
 }
@@ -124,13 +124,13 @@
 
 auto AnswerWriter::wholeBody(const AnswerEnd& end) const -> std::string
 {
-    const auto chat = call_->kind == AttemptRequest::Kind::Chat;
+    const auto isChat = call_->kind == AttemptRequest::Kind::Chat;
     auto choice = Json { { "index", 0 }, { "finish_reason", end.finishReason } };
-    if (chat)
+    if (isChat)
         choice["message"] = { { "role", "assistant" }, { "content", wholeText_ } };
     else
         choice["text"] = wholeText_;
-    auto body = Json { { "id", call_->requestId.str() }, { "object", chat ? "chat.completion" : "text_completion" },
+    auto body = Json { { "id", call_->requestId.str() }, { "object", isChat ? "chat.completion" : "text_completion" },
         { "model", call_->model.adapter.str() + "@" + std::to_string(call_->model.version.value()) },
         { "choices", Json::array({ choice }) }, { "usage", { { "completion_tokens", tokensWritten_ } } } };
     return body.dump(-1, ' ', false, Json::error_handler_t::replace);
--- a/packages/router/entry/OperatorApi.cpp
+++ b/packages/router/entry/OperatorApi.cpp
@@ -103,19 +103,19 @@
 {
     const auto method = request.exchange->method();
     const auto& path = request.path;
-    const auto get = method == "GET";
+    const auto isGet = method == "GET";
     const auto isDrain = path.starts_with(targetPrefix) && path.ends_with(drainSuffix);
-    if (path == "config" && get)
+    if (path == "config" && isGet)
         sendConfig(request);
     else if (path == "config" && method == "PATCH")
         submitPatch(request);
-    else if (path == "config/history" && get)
+    else if (path == "config/history" && isGet)
         sendHistory(request);
-    else if (path == "status" && get)
+    else if (path == "status" && isGet)
         sendStatus(request);
-    else if (path == "explain" && get)
+    else if (path == "explain" && isGet)
         sendExplanation(request);
-    else if (path.starts_with(adapterPrefix) && get)
+    else if (path.starts_with(adapterPrefix) && isGet)
         sendAdapter(request, path.substr(adapterPrefix.size()));
     else if (isDrain && (method == "POST" || method == "DELETE"))
         setDrained(request, targetFromPath(path), method == "POST");
--- a/packages/router/entry/Relay.cpp
+++ b/packages/router/entry/Relay.cpp
@@ -334,8 +334,8 @@
 auto Relay::resumeWhenLost(const TargetId& target) -> kj::Promise<void>
 {
     auto link = targets_.link(target);
-    auto lost = link ? link->whenLost() : kj::Promise<void>(kj::READY_NOW);
-    return lost.then([self = shared_from_this(), target] { return self->resume(target, now()); });
+    auto sessionLost = link ? link->whenLost() : kj::Promise<void>(kj::READY_NOW);
+    return sessionLost.then([self = shared_from_this(), target] { return self->resume(target, now()); });
 }
 
 auto Relay::resume(const TargetId& target, Moment lostAt) -> kj::Promise<void>
@@ -349,11 +349,11 @@
     auto link = targets_.link(target);
     if (!link)
         return resumeAfterDelay(target, lostAt);
-    auto late = loop_.sleep(repeatableResumeLimit).then([]() -> wire::schema::TargetSession::Client {
+    auto timeout = loop_.sleep(repeatableResumeLimit).then([]() -> wire::schema::TargetSession::Client {
         KJ_FAIL_REQUIRE("the target process does not answer");
     });
     return link->session()
-        .exclusiveJoin(kj::mv(late))
+        .exclusiveJoin(kj::mv(timeout))
         .then([self = shared_from_this(), target](wire::schema::TargetSession::Client session) {
             // Chunks that arrived out of order on the lost session are sent again.
             self->earlyChunks_.clear();
@@ -484,14 +484,14 @@
     }
     if (chunk.data.empty())
         return;
-    const auto first = !writer_.firstTokenAt();
+    const auto isFirst = !writer_.firstTokenAt();
     writer_.appendText(chunk.data, chunk.tokens);
     if (record_)
         record_->appendText(chunk.data, chunk.tokens);
     else if (isRepeatable())
         givenText_ += chunk.data;
     const auto at = now();
-    if (first) {
+    if (isFirst) {
         const auto& member = call_->caller.member;
         metrics_.observe("eelgrass_time_to_first_token_seconds", member, call_->requestClass, at - call_->receivedAt);
         betweenTokens_ = &metrics_.series("eelgrass_between_tokens_seconds", member, call_->requestClass);
@@ -511,8 +511,8 @@
         return finishAnswer(end);
     }
     const auto target = *target_;
-    const auto lost = end.error->type() == "engine_lost";
-    if (lost && quarantine_.recordCrash(digest_, crashesAtStart_)) {
+    const auto engineLost = end.error->type() == "engine_lost";
+    if (engineLost && quarantine_.recordCrash(digest_, crashesAtStart_)) {
         auto error = Error(Step::Engine, 422, "quarantined", "this request crashed two engines");
         return finishAnswer({ .error = std::move(error).at(target.str()).run(end.error->run()) });
     }
@@ -520,7 +520,7 @@
     // The target returned the attempt without starting it, so another target may run it.
     if (end.error->run() == RunState::NotRun && end.error->status() >= 409)
         loop_.spawn(handleRefusal(target, *end.error).attach(kj::heap(shared_from_this())));
-    else if (lost && isRepeatable())
+    else if (engineLost && isRepeatable())
         loop_.spawn(continueElsewhere(*end.error).attach(kj::heap(shared_from_this())));
     else
         finishAnswer(end);
--- a/packages/router/entry/RunRecord.cpp
+++ b/packages/router/entry/RunRecord.cpp
@@ -32,11 +32,12 @@
 {
 }
 
-auto RunRecord::withTimeout(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<ClaimStatus>
+auto RunRecord::withTimeout(kj::Promise<LedgerRow> row, AttemptId ownAttempt) -> kj::Promise<ClaimStatus>
 {
-    auto late = loop_.sleep(ledgerTimeout).then([]() -> LedgerRow { KJ_FAIL_REQUIRE("the ledger is slow"); });
-    return row.exclusiveJoin(kj::mv(late))
-        .then([this, own = std::move(own)](LedgerRow found) { return statusOf(std::move(found), own); },
+    auto timeout = loop_.sleep(ledgerTimeout).then([]() -> LedgerRow { KJ_FAIL_REQUIRE("the ledger is slow"); });
+    return row.exclusiveJoin(kj::mv(timeout))
+        .then([this, ownAttempt = std::move(ownAttempt)](
+                  LedgerRow found) { return statusOf(std::move(found), ownAttempt); },
             [](kj::Exception&&) -> ClaimStatus {
                 // Nothing was sent to a target. If this call's claim still reaches the ledger, it names an attempt that
                 // no target knows; the next call that finds the claim revokes it.
@@ -51,7 +52,7 @@
     return withTimeout(ledger_.claim(key_, { digest_, attempt, target, epoch, model_ }, row_.version), attempt);
 }
 
-auto RunRecord::statusOf(LedgerRow row, const AttemptId& own) -> ClaimStatus
+auto RunRecord::statusOf(LedgerRow row, const AttemptId& ownAttempt) -> ClaimStatus
 {
     row_ = std::move(row);
     if (row_.unclaimed())
@@ -60,7 +61,7 @@
         return Error(Step::Claim, 422, "key_reused", "this Idempotency-Key names another request");
     if (row_.answer)
         return Answered { row_.claim.model, *row_.answer };
-    if (row_.claim.attempt == own)
+    if (row_.claim.attempt == ownAttempt)
         return Claimed {};
     return HeldBy { row_.claim };
 }
--- a/packages/router/entry/RunRecord.h
+++ b/packages/router/entry/RunRecord.h
@@ -45,8 +45,8 @@
     [[nodiscard]] auto releaseClaim() -> kj::Promise<void>;
 
 private:
-    auto statusOf(LedgerRow row, const AttemptId& own) -> ClaimStatus;
-    auto withTimeout(kj::Promise<LedgerRow> row, AttemptId own) -> kj::Promise<ClaimStatus>;
+    auto statusOf(LedgerRow row, const AttemptId& ownAttempt) -> ClaimStatus;
+    auto withTimeout(kj::Promise<LedgerRow> row, AttemptId ownAttempt) -> kj::Promise<ClaimStatus>;
 
     wire::MainLoop& loop_;
     LedgerController& ledger_;
--- a/packages/router/entry/TargetLink.cpp
+++ b/packages/router/entry/TargetLink.cpp
@@ -166,11 +166,11 @@
             if (alive.lock() && generation == generation_)
                 drop("lost while idle");
         });
-    auto silent = loop_.sleep(probeTimeout).then([this, alive, generation] {
+    auto timeout = loop_.sleep(probeTimeout).then([this, alive, generation] {
         if (alive.lock() && generation == generation_)
             drop("silent while idle");
     });
-    return answered.exclusiveJoin(kj::mv(silent));
+    return answered.exclusiveJoin(kj::mv(timeout));
 }
 
 auto TargetLink::scheduleHeartbeat() -> void
