--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -77,7 +77,7 @@
     {
         auto revoked = role_.attempts_->revoke(AttemptId(context.getParams().getAttempt()));
         context.getResults().setRevoked(revoked == AttemptsController::Revoked::Yes);
-        context.getResults().setKnown(revoked == AttemptsController::Revoked::Held);
+        context.getResults().setKnown(revoked == AttemptsController::Revoked::Replayable);
         return kj::READY_NOW;
     }
 
@@ -150,7 +150,7 @@
         slots_ = std::make_unique<SlotsController>(loop_, *engine_, settings_.slots);
         slots_->setTurns(
             std::make_unique<LoadTurns>(loop_, settings_.common.name, [this] { return loadQueueHolder(); }));
-        slots_->setGate([this] { return fence_.confirm(); });
+        slots_->setOwnershipCheck([this] { return fence_.confirm(); });
         auto runner = EngineRunner(loop_, *engine_);
         runner.onMissing([this] { watchEngine(); });
         attempts_ = std::make_unique<AttemptsController>(loop_, std::move(runner), slots_.get(), metrics_, limits);
@@ -159,7 +159,7 @@
         attempts_ = std::make_unique<AttemptsController>(loop_, ServiceRunner(*service_), nullptr, metrics_, limits);
     }
     attempts_->onChange([this] { changed(); });
-    attempts_->setGate([this] { return fence_.confirm(); });
+    attempts_->setOwnershipCheck([this] { return fence_.confirm(); });
     fence_.onSuperseded([this] {
         // Another process owns the target: entries find it by their lost sessions, and it adopts what the engine runs.
         attempts_->setLeaving();
@@ -219,7 +219,7 @@
             if (!attempts_->engineAlive())
                 changed();
             attempts_->setEngineAlive(true);
-            attempts_->engineRuns(state.streams);
+            attempts_->reconcileEngineStreams(state.streams);
             if (state.incarnation == incarnation_)
                 return;
             // It restarted between two looks: what it held is gone, and no request may be sent on the belief that it
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -9,21 +9,24 @@
 
 namespace {
 
-// How long an ended attempt is kept for an entry that lost its session: longer than finding the loss and reconnecting.
-constexpr auto keptAfterEnd = Duration(60s);
-// How long a revoked attempt is remembered: longer than any start can lie in a frozen process's socket.
-constexpr auto revokedKept = Duration(600s);
-// A request that can no longer be answered in time is told within 50 ms of that moment.
+// An ended attempt stays available to an entry that lost its session for longer than the entry needs to notice the loss
+// and to reconnect.
+constexpr auto endedRetention = Duration(60s);
+// A revocation is remembered for longer than a start request can sit in the socket of a suspended process.
+constexpr auto revocationRetention = Duration(600s);
+// A request that can no longer meet its deadline is refused within 50 ms of that moment.
 constexpr auto expiryPeriod = Duration(40ms);
-// Loads of one adapter that may fail before those who wait for it are told; a single failure is often passing.
+// Failed loads of one adapter after which its waiting requests are rejected; a single failure is often transient.
 constexpr auto maxLoadFailures = 3;
-// How long an answer waits for an entry that lost its session: longer than the entry takes to notice (3 s) and to
-// connect anew. After it a repeatable attempt is cancelled, since it would hold an adapter slot for nobody.
-constexpr auto readerGrace = Duration(10s);
-// How long the answer of an attempt that may run only once is kept for a caller's re-send.
-constexpr auto keptUnreleased = Duration(900s);
-
-auto notRun(Step step, int status, const char* type, const char* message, std::chrono::milliseconds retryAfter) -> Error
+// How long an attempt without a reader waits for an entry that lost its session: longer than the entry takes to notice
+// (3 s) and to reconnect. After that, a repeatable attempt is cancelled, because it would occupy an adapter slot for no
+// one.
+constexpr auto reconnectGrace = Duration(10s);
+// How long the answer of a non-repeatable attempt is kept for a caller that sends its request again.
+constexpr auto unreleasedRetention = Duration(900s);
+
+auto notRunError(Step step, int status, const char* type, const char* message, std::chrono::milliseconds retryAfter)
+    -> Error
 {
     return Error(step, status, type, message).retryAfter(retryAfter);
 }
@@ -40,7 +43,7 @@
     , requests_(limits.queue, limits.batch)
 {
     if (slots_) {
-        slots_->onChange([this] { pump(); });
+        slots_->onChange([this] { dispatch(); });
         slots_->onLoadTook([this](Duration time) { requests_.recordLoadTime(time); });
     }
     expiry_ = loop_.timers().every(expiryPeriod, [this] { expire(); });
@@ -49,33 +52,33 @@
 auto AttemptsController::start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>
 {
     if (leaving_)
-        return notRun(Step::Start, 503, "leaving", "this target is leaving", 1s);
+        return notRunError(Step::Start, 503, "leaving", "this target is leaving", 1s);
     if (!engineAlive_)
-        return notRun(Step::Start, 503, "engine_away", "the engine of this target is away", 1s);
+        return notRunError(Step::Start, 503, "engine_away", "the engine of this target is away", 1s);
     if (request.epoch != epoch_)
-        return notRun(Step::Start, 409, "stale_epoch", "this target has another owner now", 0s);
+        return notRunError(Step::Start, 409, "stale_epoch", "this target has another owner now", 0s);
     if (revoked_.contains(request.attempt))
-        return notRun(Step::Start, 409, "revoked", "this attempt was revoked", 0s);
+        return notRunError(Step::Start, 409, "revoked", "this attempt was revoked", 0s);
     if (attempts_.contains(request.attempt))
         return Error(Step::Start, 409, "duplicate_attempt", "this attempt is known already").run(RunState::Unknown);
     auto attempt = std::make_shared<Attempt>(loop_, std::move(request), now());
-    if (auto refused = offer(attempt))
+    if (auto refused = enqueue(attempt))
         return refused;
     attempt->output.attach(kj::mv(sink), ChunkNumber(0));
     attempts_[attempt->request.attempt] = attempt;
     queue_.push_back(attempt);
     if (slots_)
         slots_->asked(attempt->request.model);
-    // Started in the next turn, so that the acceptance is on its way before the first chunk.
-    loop_.spawn(kj::evalLater([this] { pump(); }));
+    // Deferred to the next event loop turn, so that the acceptance is sent before the first chunk.
+    loop_.spawn(kj::evalLater([this] { dispatch(); }));
     return std::nullopt;
 }
 
-auto AttemptsController::offer(const AttemptPtr& attempt) -> std::optional<Error>
+auto AttemptsController::enqueue(const AttemptPtr& attempt) -> std::optional<Error>
 {
     const auto& request = attempt->request;
     const auto deadline = request.deadline.count() > 0 ? attempt->acceptedAt + request.deadline : Moment::max();
-    dropUnqueued();
+    removeUnqueued();
     const auto answer = requests_.offer(
         { request.attempt, request.member, request.model, request.requestClass, attempt->acceptedAt, deadline },
         resident(), running_, now());
@@ -84,8 +87,8 @@
         return std::nullopt;
     const auto later = std::chrono::ceil<std::chrono::milliseconds>(refused->retryAfter);
     if (refused->reason == decisions::Refused::Reason::Full)
-        return notRun(Step::Queue, 503, "queue_full", "this target's queue is full", later);
-    return notRun(Step::Queue, 503, "too_late", "the request could not be answered before its deadline", later);
+        return notRunError(Step::Queue, 503, "queue_full", "this target's queue is full", later);
+    return notRunError(Step::Queue, 503, "too_late", "the request could not be answered before its deadline", later);
 }
 
 auto AttemptsController::resident() const -> decisions::RequestQueue::IsResident
@@ -93,7 +96,7 @@
     return [slots = slots_](const ModelName& model) { return !slots || slots->ready(model); };
 }
 
-auto AttemptsController::dropUnqueued() -> void
+auto AttemptsController::removeUnqueued() -> void
 {
     requests_.keepOnly([this](const AttemptId& id) {
         const auto found = attempts_.find(id);
@@ -106,8 +109,8 @@
     const auto found = attempts_.find(order.attempt);
     if (found != attempts_.end()) {
         const auto& attempt = found->second;
-        if (attempt->adopted && attempt->work == nullptr && attempt->state == Attempt::State::Running)
-            readAdopted(attempt, order, kj::mv(sink));
+        if (attempt->adopted && attempt->task == nullptr && attempt->state == Attempt::State::Running)
+            streamAdopted(attempt, order, kj::mv(sink));
         else if (attempt->output.has(order.chunk))
             attempt->output.attach(kj::mv(sink), order.chunk);
         else
@@ -119,7 +122,7 @@
     auto known = std::visit([&](auto& runner) { return runner.knows(order.attempt, order.model); }, runner_);
     return known.then(
         [this, order = std::move(order), sink = kj::mv(sink)](bool there) mutable -> kj::Promise<bool> {
-            // Its start may have arrived while the engine was asked.
+            // The attempt's start request may have arrived while the engine was being queried.
             if (!attempts_.contains(order.attempt)) {
                 if (!there)
                     return false;
@@ -140,36 +143,37 @@
     attempt->pinned = slots_ && slots_->pinResident(model);
     ++running_;
     attempts_[id] = attempt;
-    remember(id);
+    rememberStarted(id);
     log::info("attempt adopted", { { "attempt", id.str() }, { "model", model.str() } });
 }
 
-auto AttemptsController::readAdopted(
+auto AttemptsController::streamAdopted(
     const AttemptPtr& attempt, const ResumeOrder& order, wire::schema::ChunkSink::Client sink) -> void
 {
     attempt->output.beginAt(order.chunk, order.token);
     attempt->output.attach(kj::mv(sink), order.chunk);
-    work(attempt, std::visit([&](auto& runner) { return runner.adopt(attempt); }, runner_));
+    runTask(attempt, std::visit([&](auto& runner) { return runner.adopt(attempt); }, runner_));
 }
 
-auto AttemptsController::engineRuns(const std::vector<targets::EngineStream>& streams) -> void
+auto AttemptsController::reconcileEngineStreams(const std::vector<targets::EngineStream>& streams) -> void
 {
     for (const auto& [id, attempt] : std::map<AttemptId, AttemptPtr>(attempts_)) {
-        if (!attempt->adopted || attempt->work != nullptr || attempt->state != Attempt::State::Running)
+        if (!attempt->adopted || attempt->task != nullptr || attempt->state != Attempt::State::Running)
             continue;
         const auto runs = std::any_of(
             streams.begin(), streams.end(), [&id = id](const auto& stream) { return stream.attempt == id; });
         if (runs)
             continue;
-        finished(attempt);
-        // The engine still has what it generated: an entry that asks for it is served from there.
+        finish(attempt);
+        // The engine keeps the generated output, so an entry that resumes the attempt is served from the engine.
         attempts_.erase(id);
     }
 }
 
-auto AttemptsController::remember(const AttemptId& id) -> void
+auto AttemptsController::rememberStarted(const AttemptId& id) -> void
 {
-    // About 100 bytes each: a day of filed submissions. Past it an attempt that is not known is never called revoked.
+    // Enough for a day of filed submissions, at about 100 bytes each. Once older IDs are dropped, an unknown attempt is
+    // never reported as revoked, because it may have been started.
     constexpr auto remembered = std::size_t(100000);
     if (!startedOnce_.insert(id).second)
         return;
@@ -178,19 +182,20 @@
         return;
     startedOnce_.erase(startedOnceOrder_.front());
     startedOnceOrder_.pop_front();
-    forgotStarted_ = true;
+    startedOnceTrimmed_ = true;
 }
 
 auto AttemptsController::revoke(const AttemptId& id) -> Revoked
 {
-    // Failure: of two sends at once the second found the claim of the first, asked for its attempt a moment before the
-    // start arrived, and revoked what by then waited its turn: both callers were refused. What has arrived is shared.
+    // An attempt whose start has arrived is shared rather than revoked. Of two simultaneous sends of a request, the
+    // second finds the claim of the first and may ask for its attempt just before the start arrives. If the second send
+    // revoked the attempt that is queued by then, both callers would be refused.
     const auto found = attempts_.find(id);
     if (found != attempts_.end())
-        return found->second->output.has(ChunkNumber(0)) ? Revoked::Held : Revoked::AlreadyStarted;
-    if (startedOnce_.contains(id) || forgotStarted_)
+        return found->second->output.has(ChunkNumber(0)) ? Revoked::Replayable : Revoked::AlreadyStarted;
+    if (startedOnce_.contains(id) || startedOnceTrimmed_)
         return Revoked::AlreadyStarted;
-    revoked_[id] = loop_.timers().after(revokedKept, [this, id] { revoked_.erase(id); });
+    revoked_[id] = loop_.timers().after(revocationRetention, [this, id] { revoked_.erase(id); });
     return Revoked::Yes;
 }
 
@@ -216,61 +221,61 @@
     if (attempt->state == Attempt::State::Ended)
         return;
     auto cancel = std::visit([&](auto& runner) { return runner.cancel(attempt); }, runner_);
-    // The slot stays pinned until the engine has let go of the stream.
+    // The slot stays pinned until the engine has released the stream.
     loop_.spawn(cancel.catch_([](kj::Exception&&) {}).then([this, attempt] {
         attempt->output.detach();
-        attempt->work = nullptr;
-        finished(attempt);
+        attempt->task = nullptr;
+        finish(attempt);
     }));
 }
 
-auto AttemptsController::settled(const Attempt& attempt) const -> bool
+auto AttemptsController::isComplete(const Attempt& attempt) const -> bool
 {
     if (attempt.state != Attempt::State::Ended)
         return false;
     if (attempt.output.delivered() || attempt.cancelled)
         return true;
-    // An entry that lost its session comes back for the rest of an answer, unless it is gone for good.
-    return !attempt.output.attached() && now() - attempt.output.detachedAt() > readerGrace;
+    // An entry that lost its session resumes the answer within the grace period, unless the entry is gone for good.
+    return !attempt.output.attached() && now() - attempt.output.detachedAt() > reconnectGrace;
 }
 
 auto AttemptsController::idle() const noexcept -> bool
 {
     return std::all_of(
-        attempts_.begin(), attempts_.end(), [this](const auto& entry) { return settled(*entry.second); });
+        attempts_.begin(), attempts_.end(), [this](const auto& entry) { return isComplete(*entry.second); });
 }
 
 auto AttemptsController::awaited(const AttemptId& id) const -> bool
 {
     const auto found = attempts_.find(id);
-    return found != attempts_.end() && !settled(*found->second);
+    return found != attempts_.end() && !isComplete(*found->second);
 }
 
 auto AttemptsController::cancelAbandoned() -> void
 {
     auto abandoned = std::vector<AttemptId>();
     for (const auto& [id, attempt] : attempts_) {
-        // One that may run only once goes on: its caller's re-send joins it.
+        // A non-repeatable attempt continues: its caller joins it by sending the request again.
         const auto wanted = attempt->request.neverRepeat || attempt->adopted || attempt->output.attached();
         if (attempt->state == Attempt::State::Ended || wanted)
             continue;
-        if (now() - attempt->output.detachedAt() > readerGrace)
+        if (now() - attempt->output.detachedAt() > reconnectGrace)
             abandoned.push_back(id);
     }
     for (const auto& id : abandoned)
         cancel(id);
 }
 
-auto AttemptsController::pump() -> void
+auto AttemptsController::dispatch() -> void
 {
-    if (pumping_)
+    if (dispatching_)
         return;
-    pumping_ = true;
-    dropUnqueued();
+    dispatching_ = true;
+    removeUnqueued();
     while (const auto next = requests_.next(running_, resident(), now())) {
         const auto attempt = attempts_.at(next->attempt);
-        // Load made for: a request that crashes engines. What ran when an engine died runs alone, so that a second
-        // crash names the culprit and takes no innocent request with it.
+        // A request that was running when an engine died runs alone, so that a second crash identifies the request that
+        // crashes engines and fails no other request.
         if (suspectRunning_ || (attempt->request.crashes > 0 && running_ > 0)) {
             requests_.putBack(*next);
             break;
@@ -280,15 +285,15 @@
         run(attempt);
     }
     if (slots_) {
-        noteStalls();
+        recordLoadStalls();
         slots_->want(requests_.loadCandidates(resident(), now()));
     }
-    pumping_ = false;
+    dispatching_ = false;
     if (onChange_)
         onChange_();
 }
 
-auto AttemptsController::noteStalls() -> void
+auto AttemptsController::recordLoadStalls() -> void
 {
     for (const auto& attempt : queue_) {
         if (attempt->stalledAt || slots_->ready(attempt->request.model))
@@ -311,29 +316,29 @@
     attempt->pinned = slots_;
     suspectRunning_ = attempt->request.crashes > 0;
     if (attempt->request.neverRepeat)
-        remember(attempt->request.attempt);
-    work(attempt, gate_().then([this, attempt](bool owner) -> kj::Promise<void> {
+        rememberStarted(attempt->request.attempt);
+    runTask(attempt, confirmOwner_().then([this, attempt](bool owner) -> kj::Promise<void> {
         if (owner)
             return std::visit([&](auto& runner) { return runner.run(attempt, epoch_); }, runner_);
         attempt->output.end(
-            { .error = notRun(Step::Start, 409, "stale_epoch", "this target has another owner now", 0s) });
+            { .error = notRunError(Step::Start, 409, "stale_epoch", "this target has another owner now", 0s) });
         return kj::READY_NOW;
     }));
 }
 
-auto AttemptsController::work(const AttemptPtr& attempt, kj::Promise<void> task) -> void
+auto AttemptsController::runTask(const AttemptPtr& attempt, kj::Promise<void> task) -> void
 {
-    attempt->work
-        = task.then([this, attempt] { finished(attempt); }).eagerlyEvaluate([this, attempt](kj::Exception&& broken) {
+    attempt->task
+        = task.then([this, attempt] { finish(attempt); }).eagerlyEvaluate([this, attempt](kj::Exception&& broken) {
               log::error("attempt failed",
                   { { "attempt", attempt->request.attempt.str() }, { "reason", broken.getDescription().cStr() } });
               attempt->output.end(
                   { .error = Error(Step::Engine, 500, "internal", "the attempt failed").run(RunState::Unknown) });
-              finished(attempt);
+              finish(attempt);
           });
 }
 
-auto AttemptsController::finished(const AttemptPtr& attempt) -> void
+auto AttemptsController::finish(const AttemptPtr& attempt) -> void
 {
     if (attempt->state != Attempt::State::Running)
         return;
@@ -347,18 +352,18 @@
     else if (!error)
         suspects_.succeeded(attempt->request.digest);
     metrics_.count("eelgrass_attempts_total", { { "outcome", attempt->cancelled ? "cancelled" : "ended" } });
-    forgetLater(attempt);
+    scheduleRemoval(attempt);
     if (slots_ && std::exchange(attempt->pinned, false))
         slots_->unpin(attempt->request.model);
-    pump();
+    dispatch();
 }
 
-auto AttemptsController::giveUp(const AttemptPtr& attempt, Error error) -> void
+auto AttemptsController::reject(const AttemptPtr& attempt, Error error) -> void
 {
     std::erase(queue_, attempt);
     attempt->state = Attempt::State::Ended;
     attempt->output.end({ .error = std::move(error) });
-    forgetLater(attempt);
+    scheduleRemoval(attempt);
 }
 
 auto AttemptsController::setEngineAlive(bool alive) -> void
@@ -366,36 +371,36 @@
     engineAlive_ = alive;
     if (alive)
         return;
-    // What was not sent yet is handed back at once: another target can run it.
+    // Queued attempts were not sent to the engine, so they are rejected at once and another target can run them.
     for (const auto& attempt : std::deque<AttemptPtr>(queue_))
-        giveUp(attempt, notRun(Step::Queue, 503, "engine_away", "the engine of this target is away", 1s));
+        reject(attempt, notRunError(Step::Queue, 503, "engine_away", "the engine of this target is away", 1s));
 }
 
-auto AttemptsController::forgetLater(const AttemptPtr& attempt) -> void
+auto AttemptsController::scheduleRemoval(const AttemptPtr& attempt) -> void
 {
     const auto& id = attempt->request.attempt;
-    const auto kept = attempt->request.neverRepeat ? keptUnreleased : keptAfterEnd;
-    forgetting_[id] = loop_.timers().after(kept, [this, id] {
+    const auto kept = attempt->request.neverRepeat ? unreleasedRetention : endedRetention;
+    removalTimers_[id] = loop_.timers().after(kept, [this, id] {
         attempts_.erase(id);
-        forgetting_.erase(id);
+        removalTimers_.erase(id);
     });
 }
 
 auto AttemptsController::expire() -> void
 {
     cancelAbandoned();
-    dropUnqueued();
+    removeUnqueued();
     for (const auto& late : requests_.expire(resident(), now())) {
         const auto later = std::chrono::ceil<std::chrono::milliseconds>(late.retryAfter);
-        giveUp(attempts_.at(late.attempt),
-            notRun(Step::Queue, 503, "deadline", "the request could not start in time", later));
+        reject(attempts_.at(late.attempt),
+            notRunError(Step::Queue, 503, "deadline", "the request could not start in time", later));
     }
     for (const auto& attempt : std::deque<AttemptPtr>(queue_)) {
         if (slots_ && slots_->failures(attempt->request.model) >= maxLoadFailures)
-            giveUp(attempt, notRun(Step::Load, 503, "load_failed", "the adapter could not be loaded", 5s));
+            reject(attempt, notRunError(Step::Load, 503, "load_failed", "the adapter could not be loaded", 5s));
     }
-    // Some answers of the decisions change with time alone, as when a load that nobody used may be evicted.
-    pump();
+    // Some decisions change with time alone: an adapter that was loaded but never used may become evictable.
+    dispatch();
 }
 
 } // namespace eelgrass::router
--- a/packages/router/controllers/AttemptsController.h
+++ b/packages/router/controllers/AttemptsController.h
@@ -15,7 +15,7 @@
 
 namespace eelgrass::router {
 
-/// The attempts of one target: accepts, queues, starts, resumes, revokes and cancels them.
+/// Accepts, queues, starts, resumes, revokes and cancels the attempts of one target.
 class AttemptsController {
 public:
     struct Limits {
@@ -24,20 +24,21 @@
     };
     using AnyRunner = std::variant<EngineRunner, ServiceRunner>;
 
-    /// `slots` is null for a plain service.
+    /// `slots` is null for a plain service, which has no adapters to load.
     AttemptsController(wire::MainLoop& loop, AnyRunner runner, SlotsController* slots, Metrics& metrics, Limits limits);
 
     auto setEpoch(Epoch epoch) -> void { epoch_ = epoch; }
-    /// Asked before anything is sent to the engine or service; `false` means that another process owns the target.
-    auto setGate(std::function<kj::Promise<bool>()> gate) -> void { gate_ = std::move(gate); }
-    /// While its engine is away a target takes nothing new.
+    /// Sets the check that runs before each attempt is sent to the engine or service. It resolves to `false` when
+    /// another process owns the target.
+    auto setOwnershipCheck(std::function<kj::Promise<bool>()> check) -> void { confirmOwner_ = std::move(check); }
+    /// While the engine is down, new attempts are refused. Setting `false` also rejects the queued ones.
     auto setEngineAlive(bool alive) -> void;
     [[nodiscard]] auto engineAlive() const noexcept -> bool { return engineAlive_; }
-    /// Refuses new attempts from here on; those accepted go on.
+    /// Refuses new attempts from now on; accepted attempts continue.
     auto setLeaving() -> void { leaving_ = true; }
     auto onChange(std::function<void()> callback) -> void { onChange_ = std::move(callback); }
 
-    /// Empty when the attempt was accepted; otherwise why it did not and will not run.
+    /// Accepts or refuses an attempt. Empty if accepted; otherwise the reason why it did not run and never will.
     [[nodiscard]] auto start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>;
     struct ResumeOrder {
         AttemptId attempt;
@@ -45,52 +46,54 @@
         ChunkNumber chunk;
         std::uint32_t token = 0;
     };
-    /// Whether the attempt is known here, or at the engine from an earlier process of this target.
+    /// Sends the rest of an attempt's output to `sink`. Resolves to `false` if the attempt is unknown both here and at
+    /// the engine, which may still run it for an earlier process of this target.
     [[nodiscard]] auto resume(ResumeOrder order, wire::schema::ChunkSink::Client sink) -> kj::Promise<bool>;
-    /// Takes over a stream that the engine runs for an earlier process: its adapter is pinned, and an entry that
-    /// resumes it by its attempt is served.
+    /// Takes over a stream that the engine runs for an earlier process of this target. Its adapter is pinned, and an
+    /// entry can resume the stream by its attempt ID.
     auto adopt(const AttemptId& id, const ModelName& model) -> void;
-    /// What the engine runs now; ends the adopted attempts that it no longer runs and nobody reads.
-    auto engineRuns(const std::vector<targets::EngineStream>& streams) -> void;
+    /// Ends each adopted attempt that has no reader and that is missing from `streams`, the streams at the engine.
+    auto reconcileEngineStreams(const std::vector<targets::EngineStream>& streams) -> void;
 
-    /// Held: its start has arrived, and its output can be had from the beginning.
-    enum class Revoked { Yes, AlreadyStarted, Held };
-    /// After `Yes` the attempt has not started and never will, even if its start comes later.
+    /// `Replayable`: the attempt was accepted, and its output is still available from the first chunk.
+    enum class Revoked { Yes, AlreadyStarted, Replayable };
+    /// After `Yes` the attempt has not started and never will, even if its start request arrives later.
     [[nodiscard]] auto revoke(const AttemptId& id) -> Revoked;
     auto cancel(const AttemptId& id) -> void;
-    /// The ledger has the answer of this attempt.
+    /// Called when the ledger has stored the answer, so that its output need not be retained any longer.
     auto release(const AttemptId& id) -> void;
 
-    /// Requests that ran here when the engine died.
+    /// Requests that were running here when the engine died, with their crash counts.
     [[nodiscard]] auto suspects() const noexcept -> const decisions::Quarantine& { return suspects_; }
 
     [[nodiscard]] auto queued() const noexcept -> std::size_t { return queue_.size(); }
-    /// How the queue stands, for the entries' views.
+    /// The request queue, from which the state reports to entries are built.
     [[nodiscard]] auto requests() const noexcept -> const decisions::RequestQueue& { return requests_; }
     [[nodiscard]] auto running() const noexcept -> std::size_t { return running_; }
-    /// Nothing queued, nothing running, and no entry still waits for the rest of an answer.
+    /// Whether nothing is queued or running and no entry still waits for the rest of an answer.
     [[nodiscard]] auto idle() const noexcept -> bool;
-    /// Whether an entry still waits for the rest of this answer.
+    /// Whether an entry may still wait for the rest of this attempt's answer.
     [[nodiscard]] auto awaited(const AttemptId& id) const -> bool;
     [[nodiscard]] auto leaving() const noexcept -> bool { return leaving_; }
 
-    /// Starts what can be started.
-    auto pump() -> void;
+    /// Starts every queued attempt that can run now, and requests loads for the adapters that the others wait for.
+    auto dispatch() -> void;
 
 private:
-    auto offer(const AttemptPtr& attempt) -> std::optional<Error>;
+    auto enqueue(const AttemptPtr& attempt) -> std::optional<Error>;
     [[nodiscard]] auto resident() const -> decisions::RequestQueue::IsResident;
-    auto dropUnqueued() -> void;
-    auto noteStalls() -> void;
+    auto removeUnqueued() -> void;
+    auto recordLoadStalls() -> void;
     auto run(const AttemptPtr& attempt) -> void;
-    auto work(const AttemptPtr& attempt, kj::Promise<void> task) -> void;
-    auto readAdopted(const AttemptPtr& attempt, const ResumeOrder& order, wire::schema::ChunkSink::Client sink) -> void;
-    auto remember(const AttemptId& id) -> void;
+    auto runTask(const AttemptPtr& attempt, kj::Promise<void> task) -> void;
+    auto streamAdopted(const AttemptPtr& attempt, const ResumeOrder& order, wire::schema::ChunkSink::Client sink)
+        -> void;
+    auto rememberStarted(const AttemptId& id) -> void;
     auto cancelAbandoned() -> void;
-    [[nodiscard]] auto settled(const Attempt& attempt) const -> bool;
-    auto finished(const AttemptPtr& attempt) -> void;
-    auto giveUp(const AttemptPtr& attempt, Error error) -> void;
-    auto forgetLater(const AttemptPtr& attempt) -> void;
+    [[nodiscard]] auto isComplete(const Attempt& attempt) const -> bool;
+    auto finish(const AttemptPtr& attempt) -> void;
+    auto reject(const AttemptPtr& attempt, Error error) -> void;
+    auto scheduleRemoval(const AttemptPtr& attempt) -> void;
     auto expire() -> void;
 
     wire::MainLoop& loop_;
@@ -101,23 +104,24 @@
     Epoch epoch_;
     bool leaving_ = false;
     std::size_t running_ = 0;
-    /// Those that wait, by arrival; `requests_` says in which order they start.
+    /// Queued attempts by arrival; `requests_` decides the order in which they start.
     std::deque<AttemptPtr> queue_;
     decisions::RequestQueue requests_;
     std::map<AttemptId, AttemptPtr> attempts_;
-    std::map<AttemptId, Timer> forgetting_;
+    std::map<AttemptId, Timer> removalTimers_;
     std::map<AttemptId, Timer> revoked_;
-    /// Attempts that may run only once and were started in this epoch: `revoke` must never say of one that it was not.
+    /// Non-repeatable and adopted attempts that were started in this epoch; `revoke` must never answer `Yes` for one.
     std::set<AttemptId> startedOnce_;
     std::deque<AttemptId> startedOnceOrder_;
-    bool forgotStarted_ = false;
-    std::function<kj::Promise<bool>()> gate_ = [] { return kj::Promise<bool>(true); };
+    /// Whether old IDs were dropped from `startedOnce_`, so that an unknown attempt may have been started.
+    bool startedOnceTrimmed_ = false;
+    std::function<kj::Promise<bool>()> confirmOwner_ = [] { return kj::Promise<bool>(true); };
     bool engineAlive_ = true;
     bool suspectRunning_ = false;
     decisions::Quarantine suspects_;
     std::function<void()> onChange_;
     Timer expiry_;
-    bool pumping_ = false;
+    bool dispatching_ = false;
 };
 
 } // namespace eelgrass::router
--- a/packages/router/controllers/SlotsController.cpp
+++ b/packages/router/controllers/SlotsController.cpp
@@ -87,7 +87,7 @@
 {
     slots_.loadStarted(model, now(), member);
     loop_.spawn(
-        gate_()
+        confirmOwner_()
             .then([this, model](bool owner) {
                 KJ_REQUIRE(owner, "this target has another owner now");
                 return engine_.load(model, epoch_);
@@ -128,7 +128,7 @@
 auto SlotsController::unload(const ModelName& model) -> void
 {
     slots_.unloadStarted(model);
-    loop_.spawn(gate_()
+    loop_.spawn(confirmOwner_()
                     .then([this, model](bool owner) {
                         KJ_REQUIRE(owner, "this target has another owner now");
                         return engine_.unload(model, epoch_);
--- a/packages/router/controllers/SlotsController.h
+++ b/packages/router/controllers/SlotsController.h
@@ -41,7 +41,7 @@
     /// Pins an adapter that a stream of an earlier process uses; false if it is not there.
     [[nodiscard]] auto pinResident(const ModelName& model) -> bool;
     /// Asked before each order to the engine.
-    auto setGate(std::function<kj::Promise<bool>()> gate) -> void { gate_ = std::move(gate); }
+    auto setOwnershipCheck(std::function<kj::Promise<bool>()> gate) -> void { confirmOwner_ = std::move(gate); }
     /// Takes what the engine says that it holds as the truth.
     auto take(const targets::EngineState& state) -> void;
     /// Reads the engine's own list and takes it as the truth.
@@ -73,7 +73,7 @@
     std::optional<ModelName> loading_;
     std::function<void(Duration)> onLoadTook_;
     std::function<void()> onChange_;
-    std::function<kj::Promise<bool>()> gate_ = [] { return kj::Promise<bool>(true); };
+    std::function<kj::Promise<bool>()> confirmOwner_ = [] { return kj::Promise<bool>(true); };
 };
 
 } // namespace eelgrass::router
--- a/packages/router/target/Attempt.h
+++ b/packages/router/target/Attempt.h
@@ -6,7 +6,7 @@
 
 namespace eelgrass::router {
 
-/// One attempt at a request, from its acceptance by the target process to the last acknowledged byte.
+/// One attempt to run a request, from its acceptance by the target process to the last acknowledged byte.
 class Attempt {
 public:
     enum class State { Queued, Running, Ended };
@@ -14,30 +14,31 @@
     Attempt(wire::MainLoop& loop, AttemptRequest start, Moment at)
         : request(std::move(start))
         , acceptedAt(at)
-        , output(
-              loop, request.neverRepeat ? AttemptOutput::Keep::UntilReleased : AttemptOutput::Keep::UntilAcknowledged)
+        , output(loop,
+              request.neverRepeat ? AttemptOutput::Retention::UntilReleased
+                                  : AttemptOutput::Retention::UntilAcknowledged)
     {
     }
 
     const AttemptRequest request;
     const Moment acceptedAt;
     State state = State::Queued;
-    /// When the request first had to wait for a load; unset if its adapter was there.
+    /// When the request began to wait for its adapter to load; unset if the adapter was resident.
     std::optional<Moment> stalledAt;
     Duration loadStall {};
     Duration queueWait {};
     bool cancelled = false;
-    /// It was sent to the engine or service, or is about to be; from here on it cannot be revoked.
+    /// Sent, or about to be sent, to the engine or service; the attempt can no longer be revoked.
     bool started = false;
-    /// It holds its adapter's slot.
+    /// Whether this attempt pins its adapter's slot.
     bool pinned = false;
-    /// Begun by an earlier process of this target, and not read here before an entry asks for it.
+    /// Started by an earlier process of this target. Its stream is not read until an entry resumes the attempt.
     bool adopted = false;
-    /// As the engine said it; an engine that says nothing stopped by itself.
+    /// As reported by the engine; "stop" if the engine reports none.
     std::string finishReason = "stop";
     AttemptOutput output;
-    /// The work at the engine or service; dropping it cancels the work.
-    kj::Maybe<kj::Promise<void>> work;
+    /// The running call to the engine or service; destroying the promise cancels the call.
+    kj::Maybe<kj::Promise<void>> task;
 };
 
 using AttemptPtr = std::shared_ptr<Attempt>;
--- a/packages/router/target/AttemptOutput.cpp
+++ b/packages/router/target/AttemptOutput.cpp
@@ -6,7 +6,7 @@
 
 auto AttemptOutput::attach(wire::schema::ChunkSink::Client sink, ChunkNumber from) -> void
 {
-    if (keep_ == Keep::UntilAcknowledged)
+    if (retention_ == Retention::UntilAcknowledged)
         readers_.clear();
     auto& reader = readers_.emplace_back(Reader { ++lastReader_, kj::mv(sink), from });
     for (const auto& chunk : chunks_) {
@@ -29,12 +29,12 @@
 {
     readers_.clear();
     detachedAt_ = now();
-    wake();
+    notifyWritable();
 }
 
 auto AttemptOutput::release() -> void
 {
-    keep_ = Keep::UntilAcknowledged;
+    retention_ = Retention::UntilAcknowledged;
     trim();
 }
 
@@ -53,11 +53,11 @@
 {
     chunk.number = next_;
     next_ = next_.next();
-    kept_ += chunk.data.size();
+    retainedBytes_ += chunk.data.size();
     chunks_.push_back(std::move(chunk));
     for (auto& reader : readers_)
         send(reader, chunks_.back());
-    if (kept_ > keptLimit)
+    if (retainedBytes_ > retainedLimit)
         release();
 }
 
@@ -78,7 +78,7 @@
         },
         [this, alive, id = reader.id](kj::Exception&&) {
             if (alive.lock())
-                broken(id);
+                readerLost(id);
         }));
 }
 
@@ -104,7 +104,7 @@
         },
         [this, alive, id = reader.id](kj::Exception&&) {
             if (alive.lock())
-                broken(id);
+                readerLost(id);
         }));
 }
 
@@ -127,50 +127,51 @@
 auto AttemptOutput::acknowledged(std::uint64_t id, ChunkNumber number) -> void
 {
     auto* reader = find(id);
-    // An acknowledgement of an earlier session counts for nothing.
+    // Acknowledgements from an earlier session are ignored.
     if (!reader)
         return;
-    while (reader->awaited <= number && reader->awaited >= first_ && reader->awaited < next_) {
-        reader->backlog -= chunks_[reader->awaited.value() - first_.value()].data.size();
-        reader->awaited = reader->awaited.next();
+    while (reader->nextUnacknowledged <= number && reader->nextUnacknowledged >= first_
+        && reader->nextUnacknowledged < next_) {
+        reader->backlog -= chunks_[reader->nextUnacknowledged.value() - first_.value()].data.size();
+        reader->nextUnacknowledged = reader->nextUnacknowledged.next();
     }
     trim();
-    wake();
+    notifyWritable();
 }
 
 auto AttemptOutput::trim() -> void
 {
-    if (keep_ == Keep::UntilReleased)
+    if (retention_ == Retention::UntilReleased)
         return;
     auto wanted = [&](const Chunk& chunk) {
         return readers_.empty() || std::any_of(readers_.begin(), readers_.end(), [&](const auto& reader) {
-            return reader.awaited <= chunk.number;
+            return reader.nextUnacknowledged <= chunk.number;
         });
     };
     while (!chunks_.empty() && !wanted(chunks_.front())) {
-        kept_ -= chunks_.front().data.size();
+        retainedBytes_ -= chunks_.front().data.size();
         chunks_.pop_front();
         first_ = first_.next();
     }
 }
 
-auto AttemptOutput::broken(std::uint64_t reader) -> void
+auto AttemptOutput::readerLost(std::uint64_t reader) -> void
 {
     readers_.remove_if([&](const auto& known) { return known.id == reader; });
     if (readers_.empty())
         detachedAt_ = now();
-    wake();
+    notifyWritable();
 }
 
 auto AttemptOutput::full() const noexcept -> bool
 {
     if (readers_.empty())
-        return kept_ >= (keep_ == Keep::UntilReleased ? keptLimit : highWater);
+        return retainedBytes_ >= (retention_ == Retention::UntilReleased ? retainedLimit : highWater);
     return std::any_of(
         readers_.begin(), readers_.end(), [](const auto& reader) { return reader.backlog >= highWater; });
 }
 
-auto AttemptOutput::wake() -> void
+auto AttemptOutput::notifyWritable() -> void
 {
     if (full())
         return;
--- a/packages/router/target/Runner.cpp
+++ b/packages/router/target/Runner.cpp
@@ -10,11 +10,11 @@
 
 using Json = nlohmann::json;
 
-// A stream that breaks this often in one answer has an engine behind it that is gone.
+// An engine whose stream breaks more often than this within one answer is considered lost.
 constexpr auto maxResumes = 3;
 constexpr auto resumeDelay = Duration(100ms);
 constexpr auto defaultMaxTokens = 256U;
-// The engine died, or forgot a stream that it had.
+// Error type for an engine that died or that no longer knows a stream that it was running.
 constexpr auto lostType = "engine_lost";
 
 auto promptOf(const AttemptRequest& request, const Json& body) -> std::string
@@ -46,7 +46,7 @@
     return completion;
 }
 
-auto endedBy(const AttemptPtr& attempt, Error error) -> void
+auto endWithError(const AttemptPtr& attempt, Error error) -> void
 {
     auto end = AnswerEnd { .completionTokens = attempt->output.tokens(), .error = std::move(error) };
     end.loadStall = attempt->loadStall;
@@ -54,7 +54,7 @@
     attempt->output.end(std::move(end));
 }
 
-auto endedWell(const AttemptPtr& attempt, std::string finishReason) -> void
+auto endNormally(const AttemptPtr& attempt, std::string finishReason) -> void
 {
     auto end = AnswerEnd { .finishReason = std::move(finishReason), .completionTokens = attempt->output.tokens() };
     end.loadStall = attempt->loadStall;
@@ -71,14 +71,14 @@
             [this, attempt](kj::Exception&& broken) -> kj::Promise<void> {
                 if (!wire::neverReached(broken))
                     return resume(attempt, 1, broken.getDescription().cStr());
-                lookAtEngine();
-                endedBy(attempt,
+                reportMissing();
+                endWithError(attempt,
                     Error(Step::Engine, 503, "engine_away", "the engine of this target is away").retryAfter(1s));
                 return kj::READY_NOW;
             });
 }
 
-auto EngineRunner::lookAtEngine() -> void
+auto EngineRunner::reportMissing() -> void
 {
     if (onMissing_)
         onMissing_();
@@ -93,8 +93,9 @@
 
 auto EngineRunner::knows(AttemptId attempt, ModelName model) -> kj::Promise<bool>
 {
-    constexpr auto afterAny = 1U << 30U;
-    return engine_.resume(std::move(attempt), std::move(model), afterAny)
+    // A token number beyond the end of any answer: only the status of the reply matters here.
+    constexpr auto beyondAnyToken = 1U << 30U;
+    return engine_.resume(std::move(attempt), std::move(model), beyondAnyToken)
         .then([](kj::Own<targets::CompletionStream> stream) { return stream->status() == 200; });
 }
 
@@ -102,26 +103,26 @@
     -> kj::Promise<void>
 {
     if (stream->status() == 200)
-        return pump(attempt, std::make_shared<kj::Own<targets::CompletionStream>>(kj::mv(stream)), resumes);
+        return forwardOutput(attempt, std::make_shared<kj::Own<targets::CompletionStream>>(kj::mv(stream)), resumes);
     const auto status = stream->status();
     auto& open = *stream;
     return open.refusal().then([this, attempt, status, resumes, stream = kj::mv(stream)](std::string type) {
-        // The slot table is wrong: the engine may have restarted between two looks at it.
+        // The slot table is out of date: the engine may have restarted between two polls of its state.
         if (status == 404)
-            lookAtEngine();
-        // A refusal of the first try proves that the engine did not run it; a refused resume proves nothing.
+            reportMissing();
+        // A refused first call proves that the engine did not run the attempt; a refused resume does not.
         const auto run = resumes == 0      ? RunState::NotRun
             : attempt->output.tokens() > 0 ? RunState::Partial
                                            : RunState::Unknown;
         if (status == 404 && resumes > 0)
             type = lostType;
         const auto told = status == 400 || status == 413 || status == 422 ? status : 503;
-        endedBy(attempt,
+        endWithError(attempt,
             Error(Step::Engine, told, type, "the engine refused with status " + std::to_string(status)).run(run));
     });
 }
 
-auto EngineRunner::pump(const AttemptPtr& attempt, const StreamPtr& stream, int resumes) -> kj::Promise<void>
+auto EngineRunner::forwardOutput(const AttemptPtr& attempt, const StreamPtr& stream, int resumes) -> kj::Promise<void>
 {
     return attempt->output.writable()
         .then([stream] { return (*stream)->next(); })
@@ -132,12 +133,12 @@
                 if (!piece.finishReason.empty())
                     attempt->finishReason = piece.finishReason;
                 if (piece.done) {
-                    endedWell(attempt, attempt->finishReason);
+                    endNormally(attempt, attempt->finishReason);
                     return kj::READY_NOW;
                 }
                 if (piece.closed)
                     return resume(attempt, resumes + 1, "the engine closed the stream");
-                return pump(attempt, stream, resumes);
+                return forwardOutput(attempt, stream, resumes);
             },
             [this, attempt, resumes](kj::Exception&& broken) -> kj::Promise<void> {
                 return resume(attempt, resumes + 1, broken.getDescription().cStr());
@@ -146,12 +147,12 @@
 
 auto EngineRunner::resume(const AttemptPtr& attempt, int resumes, std::string reason) -> kj::Promise<void>
 {
-    log::warn("engine stream broke",
+    log::warn("engine stream interrupted",
         { { "step", "engine" }, { "attempt", attempt->request.attempt.str() }, { "reason", reason } });
     if (resumes > maxResumes) {
-        lookAtEngine();
+        reportMissing();
         const auto run = attempt->output.tokens() > 0 ? RunState::Partial : RunState::Unknown;
-        endedBy(attempt, Error(Step::Engine, 502, lostType, "the engine broke off: " + reason).run(run));
+        endWithError(attempt, Error(Step::Engine, 502, lostType, "the engine broke off: " + reason).run(run));
         return kj::READY_NOW;
     }
     return loop_.sleep(resumeDelay)
@@ -172,16 +173,16 @@
     return service_.call(std::move(call))
         .then([this, attempt](kj::Own<wire::HttpStream> stream) {
             attempt->output.appendHead(stream->status(), stream->header("Content-Type"));
-            return pump(attempt, std::make_shared<kj::Own<wire::HttpStream>>(kj::mv(stream)));
+            return forwardOutput(attempt, std::make_shared<kj::Own<wire::HttpStream>>(kj::mv(stream)));
         })
-        .then([attempt] { endedWell(attempt, "stop"); },
+        .then([attempt] { endNormally(attempt, "stop"); },
             [attempt](kj::Exception&& broken) {
                 auto reason = std::string(broken.getDescription().cStr());
-                endedBy(attempt, Error(Step::Service, 502, "service_lost", reason).run(RunState::Unknown));
+                endWithError(attempt, Error(Step::Service, 502, "service_lost", reason).run(RunState::Unknown));
             });
 }
 
-auto ServiceRunner::pump(const AttemptPtr& attempt, const StreamPtr& stream) -> kj::Promise<void>
+auto ServiceRunner::forwardOutput(const AttemptPtr& attempt, const StreamPtr& stream) -> kj::Promise<void>
 {
     return attempt->output.writable()
         .then([stream] { return (*stream)->read(); })
@@ -189,7 +190,7 @@
             if (bytes.empty())
                 return kj::READY_NOW;
             attempt->output.append(std::move(bytes), 0);
-            return pump(attempt, stream);
+            return forwardOutput(attempt, stream);
         });
 }
 
--- a/packages/router/target/Runner.h
+++ b/packages/router/target/Runner.h
@@ -8,7 +8,7 @@
 
 namespace eelgrass::router {
 
-/// Runs an attempt at whatever stands behind the target process, and ends its output.
+/// Runs attempts at the back end of a target process, an engine or a plain service, and ends their output.
 template <typename T>
 concept Runner = requires(T runner, AttemptPtr attempt, Epoch epoch)
 {
@@ -26,7 +26,7 @@
         } -> std::same_as<kj::Promise<bool>>;
 };
 
-/// Runs completions at a model engine; a broken connection is resumed at the next token.
+/// Runs completions at a model engine. After a broken connection the stream is resumed at the next token.
 class EngineRunner {
 public:
     EngineRunner(wire::MainLoop& loop, targets::EngineClient& engine)
@@ -36,11 +36,11 @@
     }
 
     auto run(const AttemptPtr& attempt, Epoch epoch) -> kj::Promise<void>;
-    /// Reads a stream that an earlier process of this target began, from the token that the output stands at.
+    /// Reads a stream that an earlier process of this target began, from the output's current token on.
     auto adopt(const AttemptPtr& attempt) -> kj::Promise<void>;
     /// Whether the engine has a stream of this attempt, running or finished.
     [[nodiscard]] auto knows(AttemptId attempt, ModelName model) -> kj::Promise<bool>;
-    /// Told when the engine lacks an adapter or a stream that it should have.
+    /// Called when the engine cannot be reached, or lacks an adapter or a stream that it should have.
     auto onMissing(std::function<void()> callback) -> void { onMissing_ = std::move(callback); }
     auto cancel(const AttemptPtr& attempt) -> kj::Promise<void> { return engine_.cancel(attempt->request.attempt); }
 
@@ -48,17 +48,17 @@
     using StreamPtr = std::shared_ptr<kj::Own<targets::CompletionStream>>;
 
     auto begin(const AttemptPtr& attempt, kj::Own<targets::CompletionStream> stream, int resumes) -> kj::Promise<void>;
-    auto pump(const AttemptPtr& attempt, const StreamPtr& stream, int resumes) -> kj::Promise<void>;
+    auto forwardOutput(const AttemptPtr& attempt, const StreamPtr& stream, int resumes) -> kj::Promise<void>;
     auto resume(const AttemptPtr& attempt, int resumes, std::string reason) -> kj::Promise<void>;
 
-    auto lookAtEngine() -> void;
+    auto reportMissing() -> void;
 
     wire::MainLoop& loop_;
     targets::EngineClient& engine_;
     std::function<void()> onMissing_;
 };
 
-/// Passes calls to a plain service.
+/// Forwards calls to a plain service.
 class ServiceRunner {
 public:
     explicit ServiceRunner(targets::ServiceClient& service)
@@ -68,14 +68,14 @@
 
     auto run(const AttemptPtr& attempt, Epoch epoch) -> kj::Promise<void>;
     auto cancel(const AttemptPtr&) -> kj::Promise<void> { return kj::READY_NOW; }
-    /// A service's answer cannot be read again.
+    /// Does nothing, because a service's answer cannot be read a second time.
     auto adopt(const AttemptPtr&) -> kj::Promise<void> { return kj::READY_NOW; }
     [[nodiscard]] auto knows(AttemptId, ModelName) -> kj::Promise<bool> { return false; }
 
 private:
     using StreamPtr = std::shared_ptr<kj::Own<wire::HttpStream>>;
 
-    auto pump(const AttemptPtr& attempt, const StreamPtr& stream) -> kj::Promise<void>;
+    auto forwardOutput(const AttemptPtr& attempt, const StreamPtr& stream) -> kj::Promise<void>;
 
     targets::ServiceClient& service_;
 };
