--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -12,56 +12,57 @@
 
 constexpr auto metricMembers = std::size_t(100);
 constexpr auto metricsBodyLimit = std::size_t(1024);
-constexpr auto stopPoll = Duration(50ms);
-constexpr auto superseded = 3;
-// An entry that awaits an answer acknowledges chunks or beats every second, and gives a session up after three; one
-// that is silent for longer is gone, and what it reads would wait for it for ever.
-constexpr auto awaitedSilence = Duration(5s);
-// On a session without an answer under way an entry beats once a minute: two of these and some.
-constexpr auto idleSilence = Duration(150s);
-constexpr auto sessionLook = Duration(1s);
+constexpr auto stopPollPeriod = Duration(50ms);
+constexpr auto supersededExitCode = 3;
+// An entry that waits for an answer acknowledges chunks or sends a heartbeat every second, and closes a session that is
+// silent for three. An entry that is silent for longer is gone, and its answers would otherwise wait for it forever.
+constexpr auto activeSilenceLimit = Duration(5s);
+// On a session without an answer in progress an entry sends a heartbeat once a minute; this allows for two of them and
+// a margin.
+constexpr auto idleSilenceLimit = Duration(150s);
+constexpr auto silenceCheckPeriod = Duration(1s);
 constexpr auto retryDelay = Duration(500ms);
-// How soon an engine that restarted unnoticed is seen; the look is one small request on the same host.
-constexpr auto engineLook = Duration(500ms);
+// Bounds how long a restart of the engine goes unnoticed. Each poll is one small request on the same host.
+constexpr auto enginePollPeriod = Duration(500ms);
 
 } // namespace
 
-/// What an entry that proved the secret may ask of this target.
+/// The calls that an authenticated entry may make to this target.
 class TargetRole::Session final : public wire::schema::TargetSession::Server {
 public:
-    Session(TargetRole& role, std::shared_ptr<Heard> heard, std::uint64_t number,
+    Session(TargetRole& role, std::shared_ptr<EntryActivity> activity, std::uint64_t number,
         wire::schema::EntryListener::Client listener)
         : role_(role)
-        , heard_(std::move(heard))
+        , activity_(std::move(activity))
         , listener_(kj::mv(listener))
         , number_(number)
-        , pauses_(role.fence_.pauses())
+        , pauses_(role.fence_.pauseCount())
         , alive_(role.alive_)
     {
     }
     ~Session() noexcept
     {
-        // A session may be freed with the loop's last tasks, after the role.
+        // A session may be destroyed with the event loop's last tasks, after the role.
         if (!alive_.expired())
-            role_.forget(number_);
+            role_.unsubscribe(number_);
     }
 
     auto heartbeat(HeartbeatContext context) -> kj::Promise<void> override
     {
-        heard_->at = now();
-        role_.describe(context.getResults().initState());
+        activity_->at = now();
+        role_.writeState(context.getResults().initState());
         return kj::READY_NOW;
     }
 
     auto start(StartContext context) -> kj::Promise<void> override
     {
-        return alive().then([this, context]() mutable { startNow(context); });
+        return confirmSession().then([this, context]() mutable { startAttempt(context); });
     }
 
     auto resume(ResumeContext context) -> kj::Promise<void> override
     {
         auto params = context.getParams();
-        await(AttemptId(params.getAttempt()));
+        markAwaited(AttemptId(params.getAttempt()));
         auto order = AttemptsController::ResumeOrder {
             .attempt = AttemptId(params.getAttempt()),
             .model = ModelName(params.getModel()),
@@ -94,40 +95,40 @@
     }
 
 private:
-    /// Failure: this process stood still, and wakes with starts of entries that gave it up long ago in its sockets.
-    /// Run, they would take the engine's time for nobody. So after a pause the entry is asked first; a session that is
-    /// gone does not answer, and its starts are dropped with it.
-    auto alive() -> kj::Promise<void>
+    /// After a pause of this process, pings the entry before an attempt is started. The process may resume with start
+    /// requests in its sockets from entries that gave it up long ago, and running them would use the engine for no one.
+    /// A closed session does not answer the ping, so its start requests are dropped with it.
+    auto confirmSession() -> kj::Promise<void>
     {
-        const auto pauses = role_.fence_.pauses();
+        const auto pauses = role_.fence_.pauseCount();
         if (pauses == pauses_)
             return kj::READY_NOW;
         return listener_.pingRequest().send().ignoreResult().then([this, pauses] {
             pauses_ = pauses;
-            heard_->at = now();
+            activity_->at = now();
         });
     }
 
-    auto await(AttemptId attempt) -> void
+    auto markAwaited(AttemptId attempt) -> void
     {
-        heard_->at = now();
-        heard_->awaited.insert(std::move(attempt));
+        activity_->at = now();
+        activity_->awaited.insert(std::move(attempt));
     }
 
-    auto startNow(StartContext& context) -> void
+    auto startAttempt(StartContext& context) -> void
     {
         auto params = context.getParams();
-        await(AttemptId(params.getRequest().getAttempt()));
+        markAwaited(AttemptId(params.getRequest().getAttempt()));
         auto refused = role_.attempts_->start(read(params.getRequest()), params.getSink());
         auto results = context.getResults();
         results.setAccepted(!refused);
         if (refused)
             write(std::move(*refused).at(role_.settings_.common.name), results.initRefusal());
-        role_.describe(results.initState());
+        role_.writeState(results.initState());
     }
 
     TargetRole& role_;
-    std::shared_ptr<Heard> heard_;
+    std::shared_ptr<EntryActivity> activity_;
     wire::schema::EntryListener::Client listener_;
     std::uint64_t number_;
     std::uint64_t pauses_;
@@ -142,7 +143,7 @@
     , fence_(loop, platform_, TargetId(settings_.common.name), settings_.honoursFence)
     , listener_(settings_.listen.address, settings_.listen.port, [this](auto stream) { accept(kj::mv(stream)); })
     , metricsServer_(settings_.metrics.address, settings_.metrics.port, metricsBodyLimit,
-          [this](auto& exchange) { metricsPage(exchange); })
+          [this](auto& exchange) { serveMetrics(exchange); })
 {
     const auto limits = AttemptsController::Limits { settings_.queueLimit, settings_.batch };
     if (settings_.kind == TargetSettings::Kind::Engine) {
@@ -150,29 +151,30 @@
         slots_ = std::make_unique<SlotsController>(loop_, *engine_, settings_.slots);
         slots_->setTurns(
             std::make_unique<LoadTurns>(loop_, settings_.common.name, [this] { return loadQueueHolder(); }));
-        slots_->setOwnershipCheck([this] { return fence_.confirm(); });
+        slots_->setOwnershipCheck([this] { return fence_.confirmOwnership(); });
         auto runner = EngineRunner(loop_, *engine_);
-        runner.onMissing([this] { watchEngine(); });
+        runner.onMissing([this] { pollEngine(); });
         attempts_ = std::make_unique<AttemptsController>(loop_, std::move(runner), slots_.get(), metrics_, limits);
     } else {
         service_ = std::make_unique<targets::ServiceClient>(settings_.target.address, settings_.target.port);
         attempts_ = std::make_unique<AttemptsController>(loop_, ServiceRunner(*service_), nullptr, metrics_, limits);
     }
-    attempts_->onChange([this] { changed(); });
-    attempts_->setOwnershipCheck([this] { return fence_.confirm(); });
+    attempts_->onChange([this] { scheduleStatePush(); });
+    attempts_->setOwnershipCheck([this] { return fence_.confirmOwnership(); });
     fence_.onSuperseded([this] {
-        // Another process owns the target: entries find it by their lost sessions, and it adopts what the engine runs.
+        // Another process owns the target. Entries reconnect to that process when they lose their sessions here, and it
+        // adopts the streams that the engine runs.
         attempts_->setLeaving();
-        loop_.quit(superseded);
+        loop_.quit(supersededExitCode);
     });
 }
 
 TargetRole::~TargetRole()
 {
-    // First of all, so that what ends with the sessions finds no half-destroyed role.
+    // Released first, so that callbacks of the closing sessions do not use a partly destroyed role.
     alive_.reset();
     connections_.clear();
-    peers_.clear();
+    subscribers_.clear();
 }
 
 auto TargetRole::start() -> void
@@ -183,13 +185,13 @@
                          if (!slots_)
                              return kj::READY_NOW;
                          slots_->setEpoch(fence_.epoch());
-                         return readEngine();
+                         return readEngineState();
                      })
                      .then([this] {
                          ready_ = true;
-                         sessionTimer_ = loop_.timers().every(sessionLook, [this] { dropSilent(); });
+                         silenceTimer_ = loop_.timers().every(silenceCheckPeriod, [this] { dropSilentConnections(); });
                          if (engine_)
-                             engineTimer_ = loop_.timers().every(engineLook, [this] { watchEngine(); });
+                             engineTimer_ = loop_.timers().every(enginePollPeriod, [this] { pollEngine(); });
                          log::info("ready", { { "epoch", std::to_string(fence_.epoch().value()) } });
                      });
     loop_.spawn(kj::mv(ready));
@@ -197,106 +199,108 @@
         "listening", { { "port", std::to_string(port()) }, { "metrics_port", std::to_string(metricsServer_.port()) } });
 }
 
-auto TargetRole::readEngine() -> kj::Promise<void>
+auto TargetRole::readEngineState() -> kj::Promise<void>
 {
     return engine_->state().then(
         [this](const targets::EngineState& state) -> kj::Promise<void> {
             incarnation_ = state.incarnation;
-            slots_->take(state);
+            slots_->applyEngineState(state);
             for (const auto& stream : state.streams)
                 attempts_->adopt(stream.attempt, stream.model);
             return kj::READY_NOW;
         },
-        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return readEngine(); }); });
+        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return readEngineState(); }); });
 }
 
-auto TargetRole::watchEngine() -> void
+auto TargetRole::pollEngine() -> void
 {
-    if (std::exchange(watchingEngine_, true))
+    if (std::exchange(pollingEngine_, true))
         return;
     auto look = engine_->state().then(
         [this](const targets::EngineState& state) {
             if (!attempts_->engineAlive())
-                changed();
+                scheduleStatePush();
             attempts_->setEngineAlive(true);
             attempts_->reconcileEngineStreams(state.streams);
             if (state.incarnation == incarnation_)
                 return;
-            // It restarted between two looks: what it held is gone, and no request may be sent on the belief that it
-            // is there.
+            // The engine restarted between two polls and lost its adapters, so the slot table is replaced before any
+            // request relies on it.
             log::warn("engine restarted", { { "step", "engine" } });
             incarnation_ = state.incarnation;
-            slots_->take(state);
+            slots_->applyEngineState(state);
         },
         [this](kj::Exception&& lost) {
             if (attempts_->engineAlive())
-                log::warn("engine away", { { "step", "engine" }, { "reason", lost.getDescription().cStr() } });
+                log::warn("engine unreachable", { { "step", "engine" }, { "reason", lost.getDescription().cStr() } });
             attempts_->setEngineAlive(false);
-            changed();
+            scheduleStatePush();
         });
-    loop_.spawn(look.then([this] { watchingEngine_ = false; }));
+    loop_.spawn(look.then([this] { pollingEngine_ = false; }));
 }
 
 auto TargetRole::accept(kj::Own<wire::GlibStream> stream) -> void
 {
-    auto heard = std::make_shared<Heard>(Heard { .at = now() });
-    auto door = kj::heap<wire::Door>(settings_.common.secret,
-        [this, heard](auto name, auto listener) { return admit(std::move(name), kj::mv(listener), heard); });
-    auto peer = std::make_shared<Connected>();
-    peer->heard = heard;
-    peer->connection = std::make_unique<wire::Connection>(kj::mv(stream), kj::mv(door));
-    connections_.push_back(peer);
-    loop_.spawn(peer->connection->closed().then([this, gone = std::weak_ptr(peer)] {
+    auto activity = std::make_shared<EntryActivity>(EntryActivity { .at = now() });
+    auto door = kj::heap<wire::Door>(settings_.common.secret, [this, activity](auto name, auto listener) {
+        return openSession(std::move(name), kj::mv(listener), activity);
+    });
+    auto entry = std::make_shared<EntryConnection>();
+    entry->activity = activity;
+    entry->connection = std::make_unique<wire::Connection>(kj::mv(stream), kj::mv(door));
+    connections_.push_back(entry);
+    loop_.spawn(entry->connection->closed().then([this, gone = std::weak_ptr(entry)] {
         if (auto held = gone.lock())
-            drop(held);
+            dropConnection(held);
     }));
 }
 
-auto TargetRole::drop(const std::shared_ptr<Connected>& peer) -> void
+auto TargetRole::dropConnection(const std::shared_ptr<EntryConnection>& entry) -> void
 {
-    connections_.remove(peer);
-    // Freed in a later turn: the connection may be on the stack when it says that it is closed.
-    loop_.spawn(kj::evalLater([] {}).then([] { return kj::evalLater([] {}); }).attach(kj::heap(peer)));
+    connections_.remove(entry);
+    // Destroyed in a later event loop turn, because the connection may be on the stack when it reports that it is
+    // closed.
+    loop_.spawn(kj::evalLater([] {}).then([] { return kj::evalLater([] {}); }).attach(kj::heap(entry)));
 }
 
-auto TargetRole::dropSilent() -> void
+auto TargetRole::dropSilentConnections() -> void
 {
-    const auto pauses = fence_.pauses();
-    for (const auto& peer : std::list<std::shared_ptr<Connected>>(connections_)) {
-        // After a pause of this process nobody could be heard: the entries get their time anew.
-        if (pauses != pausesSeen_)
-            peer->heard->at = now();
-        std::erase_if(peer->heard->awaited, [this](const auto& attempt) { return !attempts_->awaited(attempt); });
-        const auto limit = peer->heard->awaited.empty() ? idleSilence : awaitedSilence;
-        const auto heardAt = std::max(peer->heard->at, peer->connection->heardAt());
+    const auto pauses = fence_.pauseCount();
+    for (const auto& entry : std::list<std::shared_ptr<EntryConnection>>(connections_)) {
+        // Nothing could be received while this process was paused, so the silence of each entry is counted anew.
+        if (pauses != lastPauseCount_)
+            entry->activity->at = now();
+        std::erase_if(entry->activity->awaited, [this](const auto& attempt) { return !attempts_->awaited(attempt); });
+        const auto limit = entry->activity->awaited.empty() ? idleSilenceLimit : activeSilenceLimit;
+        const auto heardAt = std::max(entry->activity->at, entry->connection->heardAt());
         if (now() - heardAt > limit)
-            drop(peer);
+            dropConnection(entry);
     }
-    // A process that was replaced while it stood still ends soon, also when nobody asks anything of it.
-    if (std::exchange(pausesSeen_, pauses) != pauses)
-        loop_.spawn(fence_.confirm().ignoreResult());
+    // Lets a process that was replaced during a pause end soon, even if it receives no request.
+    if (std::exchange(lastPauseCount_, pauses) != pauses)
+        loop_.spawn(fence_.confirmOwnership().ignoreResult());
 }
 
-auto TargetRole::admit(std::string name, wire::schema::EntryListener::Client listener, std::shared_ptr<Heard> heard)
-    -> wire::schema::TargetSession::Client
+auto TargetRole::openSession(std::string name, wire::schema::EntryListener::Client listener,
+    std::shared_ptr<EntryActivity> activity) -> wire::schema::TargetSession::Client
 {
     KJ_REQUIRE(ready_, "this target is not ready yet");
     log::info("session opened", { { "peer", name } });
-    peers_.push_back({ ++lastSession_, name, listener });
-    return kj::heap<Session>(*this, std::move(heard), lastSession_, kj::mv(listener));
+    subscribers_.push_back({ ++lastSession_, name, listener });
+    return kj::heap<Session>(*this, std::move(activity), lastSession_, kj::mv(listener));
 }
 
-auto TargetRole::forget(std::uint64_t session) -> void
+auto TargetRole::unsubscribe(std::uint64_t session) -> void
 {
-    // Entries close sessions that they no longer use and open them again; each would stay here for ever. Forgotten in a
-    // later turn: the connection that holds the listener may be on the stack.
+    // Entries close unused sessions and open new ones, so closed sessions must not accumulate here. Removed in a later
+    // event loop turn, because the connection that holds the listener may be on the stack.
     loop_.spawn(kj::evalLater([this, session, alive = std::weak_ptr(alive_)] {
         if (alive.lock())
-            peers_.remove_if([&](const Peer& known) { return known.session == session; });
+            subscribers_.remove_if([&](const Subscriber& known) { return known.session == session; });
     }));
 }
 
-auto TargetRole::describe(wire::schema::TargetState::Builder into) const -> void
+auto TargetRole::writeState(wire::schema::TargetState::Builder into) const -> void
 {
     into.setTarget(settings_.common.name);
     into.setEpoch(fence_.epoch().value());
@@ -330,17 +334,18 @@
         names.set(index++, name.str());
 }
 
-// Every target comes to the same entry among those connected, so that there is one queue; where they differ there are
-// two for a while, and loads are slower, not wrong. Of an entry's two connections the newer one counts.
+// All targets choose the same entry among those connected to them, so that there is one load queue. Targets that are
+// connected to different entries may use two queues for a while; loads are then slower, but not incorrect. If an entry
+// has two sessions, the newer one is used.
 auto TargetRole::loadQueueHolder() -> std::optional<LoadTurns::Listener>
 {
     static const auto key = decisions::nameHash("load queue");
-    const auto score = [](const Peer& peer) {
-        return std::pair(decisions::rendezvousScore(key, decisions::nameHash(peer.name)), peer.session);
+    const auto score = [](const Subscriber& subscriber) {
+        return std::pair(decisions::rendezvousScore(key, decisions::nameHash(subscriber.name)), subscriber.session);
     };
-    const auto best = std::max_element(
-        peers_.begin(), peers_.end(), [&](const Peer& a, const Peer& b) { return score(a) < score(b); });
-    return best == peers_.end() ? std::nullopt : std::optional(best->listener);
+    const auto best = std::max_element(subscribers_.begin(), subscribers_.end(),
+        [&](const Subscriber& a, const Subscriber& b) { return score(a) < score(b); });
+    return best == subscribers_.end() ? std::nullopt : std::optional(best->listener);
 }
 
 auto TargetRole::summary() const -> decisions::ReportThrottle::Summary
@@ -355,7 +360,7 @@
     return summary;
 }
 
-auto TargetRole::changed() -> void
+auto TargetRole::scheduleStatePush() -> void
 {
     if (pushTimer_.active())
         return;
@@ -372,11 +377,11 @@
 auto TargetRole::pushState() -> void
 {
     reports_.sent(summary(), now());
-    for (auto peer = peers_.begin(); peer != peers_.end(); ++peer) {
-        auto request = peer->listener.targetChangedRequest();
-        describe(request.initState());
+    for (auto subscriber = subscribers_.begin(); subscriber != subscribers_.end(); ++subscriber) {
+        auto request = subscriber->listener.targetChangedRequest();
+        writeState(request.initState());
         loop_.spawn(request.send().ignoreResult().then(
-            [] {}, [this, session = peer->session](kj::Exception&&) { forget(session); }));
+            [] {}, [this, session = subscriber->session](kj::Exception&&) { unsubscribe(session); }));
     }
 }
 
@@ -388,7 +393,7 @@
     log::info("leaving");
     attempts_->setLeaving();
     pushState();
-    stopTimer_ = loop_.timers().every(stopPoll, [this] {
+    stopTimer_ = loop_.timers().every(stopPollPeriod, [this] {
         if (!attempts_->idle())
             return;
         log::info("stopped");
@@ -396,7 +401,7 @@
     });
 }
 
-auto TargetRole::metricsPage(const wire::HttpExchangePtr& exchange) -> void
+auto TargetRole::serveMetrics(const wire::HttpExchangePtr& exchange) -> void
 {
     if (exchange->path() == "/metrics")
         return exchange->respond(200, "text/plain; version=0.0.4", metrics_.text());
--- a/packages/router/TargetRole.h
+++ b/packages/router/TargetRole.h
@@ -20,15 +20,15 @@
 
 /// A target process: the sole owner of one model engine or plain service.
 ///
-/// What an entry believes of the target is a hint; what is decided here holds.
+/// An entry's view of the target is only a hint; the target process makes the binding decisions.
 class TargetRole {
 public:
     TargetRole(wire::MainLoop& loop, TargetSettings settings);
     ~TargetRole();
 
-    /// Raises the epoch, reads what the engine holds, then takes sessions.
+    /// Raises the epoch, reads the engine's state, then accepts sessions.
     auto start() -> void;
-    /// Refuses new attempts, tells the entries, and quits the loop when the last answer was delivered.
+    /// Refuses new attempts, notifies the entries, and quits the event loop when the last answer was delivered.
     auto stop() -> void;
 
     [[nodiscard]] auto port() const noexcept -> std::uint16_t { return listener_.port(); }
@@ -36,38 +36,39 @@
 private:
     class Session;
     friend class Session;
-    struct Peer {
-        /// Not the entry's name, since an entry that reconnects has two of these for a while.
+    /// An entry session that receives this target's state.
+    struct Subscriber {
+        /// Identifies the session. The entry's name would not: a reconnecting entry has two sessions for a while.
         std::uint64_t session = 0;
         std::string name;
         wire::schema::EntryListener::Client listener;
     };
 
-    /// When an entry was last heard on a connection, and what for.
-    struct Heard {
+    /// When an entry last sent anything on its connection, and which answers it waits for.
+    struct EntryActivity {
         Moment at;
-        /// Those whose answers the entry still waits for.
+        /// Attempts whose answers the entry still waits for.
         std::set<AttemptId> awaited;
     };
-    struct Connected {
-        std::shared_ptr<Heard> heard;
+    struct EntryConnection {
+        std::shared_ptr<EntryActivity> activity;
         std::unique_ptr<wire::Connection> connection;
     };
 
-    auto readEngine() -> kj::Promise<void>;
-    auto watchEngine() -> void;
+    auto readEngineState() -> kj::Promise<void>;
+    auto pollEngine() -> void;
     auto accept(kj::Own<wire::GlibStream> stream) -> void;
-    auto drop(const std::shared_ptr<Connected>& peer) -> void;
-    auto dropSilent() -> void;
-    auto admit(std::string name, wire::schema::EntryListener::Client listener, std::shared_ptr<Heard> heard)
-        -> wire::schema::TargetSession::Client;
-    auto describe(wire::schema::TargetState::Builder into) const -> void;
+    auto dropConnection(const std::shared_ptr<EntryConnection>& entry) -> void;
+    auto dropSilentConnections() -> void;
+    auto openSession(std::string name, wire::schema::EntryListener::Client listener,
+        std::shared_ptr<EntryActivity> activity) -> wire::schema::TargetSession::Client;
+    auto writeState(wire::schema::TargetState::Builder into) const -> void;
     auto loadQueueHolder() -> std::optional<LoadTurns::Listener>;
-    auto forget(std::uint64_t session) -> void;
+    auto unsubscribe(std::uint64_t session) -> void;
     [[nodiscard]] auto summary() const -> decisions::ReportThrottle::Summary;
     auto pushState() -> void;
-    auto changed() -> void;
-    auto metricsPage(const wire::HttpExchangePtr& exchange) -> void;
+    auto scheduleStatePush() -> void;
+    auto serveMetrics(const wire::HttpExchangePtr& exchange) -> void;
 
     wire::MainLoop& loop_;
     TargetSettings settings_;
@@ -78,22 +79,23 @@
     std::unique_ptr<targets::ServiceClient> service_;
     std::unique_ptr<SlotsController> slots_;
     std::unique_ptr<AttemptsController> attempts_;
-    std::list<Peer> peers_;
-    std::list<std::shared_ptr<Connected>> connections_;
+    std::list<Subscriber> subscribers_;
+    std::list<std::shared_ptr<EntryConnection>> connections_;
     std::string incarnation_;
-    bool watchingEngine_ = false;
-    std::uint64_t pausesSeen_ = 0;
+    bool pollingEngine_ = false;
+    std::uint64_t lastPauseCount_ = 0;
     std::uint64_t lastSession_ = 0;
     bool ready_ = false;
     bool stopping_ = false;
     decisions::ReportThrottle reports_;
     Timer pushTimer_;
     Timer stopTimer_;
-    Timer sessionTimer_;
+    Timer silenceTimer_;
     Timer engineTimer_;
     wire::Listener listener_;
     wire::HttpServer metricsServer_;
-    /// Last, so that it goes first: what outlives the role sees by it that the role is gone.
+    /// Declared last so that it is destroyed first. Objects that outlive the role hold a weak pointer to it, by which
+    /// they see that the role is gone.
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -44,7 +44,7 @@
 {
     if (slots_) {
         slots_->onChange([this] { dispatch(); });
-        slots_->onLoadTook([this](Duration time) { requests_.recordLoadTime(time); });
+        slots_->onLoadTime([this](Duration time) { requests_.recordLoadTime(time); });
     }
     expiry_ = loop_.timers().every(expiryPeriod, [this] { expire(); });
 }
@@ -68,7 +68,7 @@
     attempts_[attempt->request.attempt] = attempt;
     queue_.push_back(attempt);
     if (slots_)
-        slots_->asked(attempt->request.model);
+        slots_->recordDemand(attempt->request.model);
     // Deferred to the next event loop turn, so that the acceptance is sent before the first chunk.
     loop_.spawn(kj::evalLater([this] { dispatch(); }));
     return std::nullopt;
@@ -286,7 +286,7 @@
     }
     if (slots_) {
         recordLoadStalls();
-        slots_->want(requests_.loadCandidates(resident(), now()));
+        slots_->requestLoads(requests_.loadCandidates(resident(), now()));
     }
     dispatching_ = false;
     if (onChange_)
@@ -396,7 +396,7 @@
             notRunError(Step::Queue, 503, "deadline", "the request could not start in time", later));
     }
     for (const auto& attempt : std::deque<AttemptPtr>(queue_)) {
-        if (slots_ && slots_->failures(attempt->request.model) >= maxLoadFailures)
+        if (slots_ && slots_->loadFailures(attempt->request.model) >= maxLoadFailures)
             reject(attempt, notRunError(Step::Load, 503, "load_failed", "the adapter could not be loaded", 5s));
     }
     // Some decisions change with time alone: an adapter that was loaded but never used may become evictable.
--- a/packages/router/controllers/FenceController.cpp
+++ b/packages/router/controllers/FenceController.cpp
@@ -11,27 +11,29 @@
 
 namespace {
 
-// A whole zone of target processes starts at once, perhaps while the platform is away: at a fixed half second 440 of
-// them would ask as much as the platform can read. They back off to one try in four seconds, out of step.
+// All target processes of a zone may start at once, perhaps while the platform is unavailable. Retrying at a fixed
+// interval of half a second, 440 processes would use the platform's whole read capacity. They back off, with jitter, to
+// one try every four seconds.
 constexpr auto retryDelay = Duration(500ms);
 constexpr auto longestRetryDelay = Duration(4s);
 constexpr auto ownerBytes = std::size_t(8);
-// An earlier owner may have sent an order just before it was stopped, and an engine that ignores the number would carry
-// it out. It sends none after a pause that it notices; so the newcomer waits out the longest pause that goes unnoticed
-// and the way to the engine, and only then reads what is loaded.
-constexpr auto unnoticedOrder = PauseWatch::limit + Duration(500ms);
+// Wait before a new owner reads the engine's state, if the engine ignores epochs. The earlier owner may have sent an
+// order just before it was stopped, and such an engine would carry it out. The earlier owner sends no order after a
+// pause that it detects, so the wait covers the longest undetected pause and the time that an order needs to reach the
+// engine.
+constexpr auto takeoverDelay = PauseDetector::limit + Duration(500ms);
 
 } // namespace
 
 FenceController::FenceController(
-    wire::MainLoop& loop, platform::PlatformClient& platform, TargetId target, bool honoured)
+    wire::MainLoop& loop, platform::PlatformClient& platform, TargetId target, bool engineRejectsStale)
     : loop_(loop)
     , platform_(platform)
     , key_("epoch/" + target.str())
-    , honoured_(honoured)
-    , watch_(loop.timers())
+    , engineRejectsStale_(engineRejectsStale)
+    , pauseDetector_(loop.timers())
     , owner_(randomHex(ownerBytes))
-    , retries_(retryDelay, longestRetryDelay, std::random_device()())
+    , retrySchedule_(retryDelay, longestRetryDelay, std::random_device()())
 {
 }
 
@@ -39,15 +41,16 @@
 {
     return tryRaise()
         .catch_([](kj::Exception&& lost) {
-            log::warn("epoch not raised yet", { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
+            log::warn("cannot raise epoch, will retry",
+                { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
             return false;
         })
         .then([this](bool raised) -> kj::Promise<void> {
             if (raised) {
-                confirmed_ = watch_.count();
-                return honoured_ ? kj::Promise<void>(kj::READY_NOW) : loop_.sleep(unnoticedOrder);
+                confirmedPauses_ = pauseDetector_.count();
+                return engineRejectsStale_ ? kj::Promise<void>(kj::READY_NOW) : loop_.sleep(takeoverDelay);
             }
-            return loop_.sleep(retries_.next(decisions::PollSchedule::Outcome::Failed)).then([this] {
+            return loop_.sleep(retrySchedule_.next(decisions::PollSchedule::Outcome::Failed)).then([this] {
                 return raise();
             });
         });
@@ -57,7 +60,7 @@
 {
     return platform_.read(key_).then([this](platform::Row row) -> kj::Promise<bool> {
         if (row.version > 0 && row.value.value("owner", "") == owner_) {
-            // An earlier try took effect and only its answer was lost.
+            // An earlier attempt succeeded and only its answer was lost.
             epoch_ = Epoch(row.version);
             return true;
         }
@@ -72,28 +75,29 @@
     });
 }
 
-auto FenceController::confirm() -> kj::Promise<bool>
+auto FenceController::confirmOwnership() -> kj::Promise<bool>
 {
     if (superseded_)
         return false;
-    if (watch_.count() == confirmed_)
+    if (pauseDetector_.count() == confirmedPauses_)
         return true;
-    if (!honoured_)
-        return check();
-    // The engine refuses an old number by itself, so the order need not wait for the platform.
-    loop_.spawn(check().ignoreResult());
+    if (!engineRejectsStale_)
+        return verifyOwner();
+    // The engine refuses stale epochs itself, so the order need not wait for the platform.
+    loop_.spawn(verifyOwner().ignoreResult());
     return true;
 }
 
-auto FenceController::check() -> kj::Promise<bool>
+auto FenceController::verifyOwner() -> kj::Promise<bool>
 {
-    const auto pauses = watch_.count();
+    const auto pauses = pauseDetector_.count();
     return platform_.read(key_).then(
         [this, pauses](platform::Row row) -> kj::Promise<bool> {
             if (row.value.value("owner", "") == owner_) {
-                confirmed_ = std::max(confirmed_, pauses);
-                // Another pause while the row was read makes the answer old.
-                return confirm();
+                confirmedPauses_ = std::max(confirmedPauses_, pauses);
+                // Another pause while the row was read would make the answer stale, so the pause count is checked
+                // again.
+                return confirmOwnership();
             }
             if (!std::exchange(superseded_, true)) {
                 log::error("superseded", { { "step", "platform" }, { "epoch", std::to_string(epoch_.value()) } });
@@ -102,7 +106,7 @@
             }
             return false;
         },
-        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return check(); }); });
+        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return verifyOwner(); }); });
 }
 
 } // namespace eelgrass::router
--- a/packages/router/controllers/LoadQueueController.cpp
+++ b/packages/router/controllers/LoadQueueController.cpp
@@ -10,7 +10,7 @@
         waiting->fulfill(false);
     waiting = kj::mv(pair.fulfiller);
     queue_.enqueue(ask);
-    grant();
+    grantTurns();
     return kj::mv(pair.promise);
 }
 
@@ -22,26 +22,26 @@
         waiting_.erase(left);
     }
     queue_.release(target);
-    grant();
+    grantTurns();
 }
 
-auto LoadQueueController::grant() -> void
+auto LoadQueueController::grantTurns() -> void
 {
     for (const auto& target : queue_.grants(now())) {
         const auto waiting = waiting_.find(target);
         if (waiting == waiting_.end() || !waiting->second->isWaiting()) {
-            // Its session is gone, so nobody would use the turn.
+            // The target's session is closed, so nobody would use the turn.
             queue_.release(target);
             if (waiting != waiting_.end())
                 waiting_.erase(waiting);
-            return grant();
+            return grantTurns();
         }
         waiting->second->fulfill(true);
         waiting_.erase(waiting);
     }
-    expiry_ = {};
+    expiryTimer_ = {};
     if (const auto ends = queue_.grantExpiresAt())
-        expiry_ = loop_.timers().after(std::max(*ends - now(), Duration(1ms)), [this] { grant(); });
+        expiryTimer_ = loop_.timers().after(std::max(*ends - now(), Duration(1ms)), [this] { grantTurns(); });
 }
 
 } // namespace eelgrass::router
--- a/packages/router/controllers/LoadQueueController.h
+++ b/packages/router/controllers/LoadQueueController.h
@@ -7,8 +7,8 @@
 
 namespace eelgrass::router {
 
-/// Holds the load queue for the target processes that ask this entry. It is advisory and kept in memory: a lost entry
-/// costs one expiry and nothing else.
+/// Holds the load queue, in which target processes wait for their turn to load an adapter from the weight store. The
+/// queue is advisory and kept in memory: losing the entry that holds it costs one expiry of a turn and nothing else.
 class LoadQueueController {
 public:
     explicit LoadQueueController(wire::MainLoop& loop)
@@ -16,17 +16,19 @@
     {
     }
 
-    /// True when the target's turn has come; false when the target asked again meanwhile.
+    /// Resolves to `true` when the target's turn has come, and to `false` when a later request of the target replaces
+    /// this one or the target releases its turn.
     [[nodiscard]] auto requestTurn(const decisions::LoadRequest& ask) -> kj::Promise<bool>;
+    /// Ends the target's turn or its wait for one.
     auto releaseTurn(const TargetId& target) -> void;
 
 private:
-    auto grant() -> void;
+    auto grantTurns() -> void;
 
     wire::MainLoop& loop_;
     decisions::LoadQueue queue_;
     std::map<TargetId, kj::Own<kj::PromiseFulfiller<bool>>> waiting_;
-    Timer expiry_;
+    Timer expiryTimer_;
 };
 
 } // namespace eelgrass::router
--- a/packages/router/controllers/SlotsController.cpp
+++ b/packages/router/controllers/SlotsController.cpp
@@ -24,39 +24,39 @@
 auto SlotsController::setTurns(std::unique_ptr<LoadTurns> turns) -> void
 {
     turns_ = std::move(turns);
-    turns_->onTurn([this] { useTurn(); });
+    turns_->onTurn([this] { loadNext(); });
 }
 
-auto SlotsController::want(std::vector<decisions::LoadCandidate> candidates) -> void
+auto SlotsController::requestLoads(std::vector<decisions::LoadCandidate> candidates) -> void
 {
-    wanted_ = std::move(candidates);
-    std::erase_if(wantedAt_, [this](const auto& known) {
-        return std::none_of(
-            wanted_.begin(), wanted_.end(), [&](const auto& candidate) { return candidate.model == known.first; });
+    candidates_ = std::move(candidates);
+    std::erase_if(requestedAt_, [this](const auto& known) {
+        return std::none_of(candidates_.begin(), candidates_.end(),
+            [&](const auto& candidate) { return candidate.model == known.first; });
     });
-    for (const auto& candidate : wanted_)
-        wantedAt_.try_emplace(candidate.model, now());
+    for (const auto& candidate : candidates_)
+        requestedAt_.try_emplace(candidate.model, now());
     if (loading_)
         return;
-    if (!turns_ || turns_->held())
-        return useTurn();
-    const auto worthy = std::find_if(wanted_.begin(), wanted_.end(), [this](const auto& candidate) {
+    if (!turns_ || turns_->hasTurn())
+        return loadNext();
+    const auto loadable = std::find_if(candidates_.begin(), candidates_.end(), [this](const auto& candidate) {
         const auto answer = slots_.request(candidate.model, now(), candidate.member);
         return std::holds_alternative<decisions::LoadNow>(answer)
             || std::holds_alternative<decisions::EvictFirst>(answer);
     });
-    if (worthy == wanted_.end())
-        turns_->done();
+    if (loadable == candidates_.end())
+        turns_->releaseTurn();
     else
-        turns_->ask(worthy->weight, worthy->oldestAt);
+        turns_->requestTurn(loadable->weight, loadable->oldestAt);
 }
 
-// The most worthy adapter that a slot can be had for. An eviction ends before its load begins; the turn is kept over
-// both.
-auto SlotsController::useTurn() -> void
+// Loads the adapter of highest priority that can get a slot. An eviction ends before the load that needs its slot
+// begins; the turn is kept for both.
+auto SlotsController::loadNext() -> void
 {
     auto evicting = false;
-    for (const auto& candidate : wanted_) {
+    for (const auto& candidate : candidates_) {
         const auto answer = slots_.request(candidate.model, now(), candidate.member);
         if (std::holds_alternative<decisions::LoadNow>(answer)) {
             loading_ = candidate.model;
@@ -74,13 +74,13 @@
 {
     loading_.reset();
     if (turns_)
-        turns_->done();
+        turns_->releaseTurn();
 }
 
 auto SlotsController::unpin(const ModelName& model) -> void
 {
     slots_.unpin(model);
-    changed();
+    notifyChange();
 }
 
 auto SlotsController::load(const ModelName& model, const MemberId& member) -> void
@@ -100,11 +100,11 @@
                     loadEnded(model, outcome.accepted());
                 },
                 [this, model](kj::Exception&& lost) {
-                    log::warn("load lost",
+                    log::warn("load not confirmed",
                         { { "step", "load" }, { "model", model.str() }, { "reason", lost.getDescription().cStr() } });
-                    // The answer is lost, not the load: the engine's own list tells how it ended.
-                    // Until it is read the slot is of unknown content, and nothing is sent to it.
-                    loop_.spawn(refreshUntilRead().then([this, model] {
+                    // The answer is lost, but the load may have succeeded: the engine's state shows its outcome. Until
+                    // that state is read, the content of the slot is unknown and no request is sent to it.
+                    loop_.spawn(refreshWithRetry().then([this, model] {
                         if (!slots_.resident().contains(model))
                             loadEnded(model, false);
                     }));
@@ -114,15 +114,15 @@
 auto SlotsController::loadEnded(const ModelName& model, bool loaded) -> void
 {
     if (loaded)
-        failures_.erase(model);
+        loadFailures_.erase(model);
     else
-        ++failures_[model];
+        ++loadFailures_[model];
     slots_.loadEnded(model, loaded, now());
-    if (const auto wanted = wantedAt_.extract(model); wanted && onLoadTook_)
-        onLoadTook_(now() - wanted.mapped());
+    if (const auto requested = requestedAt_.extract(model); requested && onLoadTime_)
+        onLoadTime_(now() - requested.mapped());
     if (loading_ == model)
         endTurn();
-    changed();
+    notifyChange();
 }
 
 auto SlotsController::unload(const ModelName& model) -> void
@@ -136,29 +136,29 @@
                     .then(
                         [this, model](targets::OrderOutcome outcome) {
                             slots_.unloadEnded(model, outcome.accepted());
-                            changed();
+                            notifyChange();
                         },
-                        [this](kj::Exception&&) { loop_.spawn(refreshUntilRead()); }));
+                        [this](kj::Exception&&) { loop_.spawn(refreshWithRetry()); }));
 }
 
 auto SlotsController::refresh() -> kj::Promise<void>
 {
-    return engine_.state().then([this](targets::EngineState state) { take(state); });
+    return engine_.state().then([this](targets::EngineState state) { applyEngineState(state); });
 }
 
-auto SlotsController::refreshUntilRead() -> kj::Promise<void>
+auto SlotsController::refreshWithRetry() -> kj::Promise<void>
 {
     return refresh().catch_(
-        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return refreshUntilRead(); }); });
+        [this](kj::Exception&&) { return loop_.sleep(retryDelay).then([this] { return refreshWithRetry(); }); });
 }
 
-auto SlotsController::take(const targets::EngineState& state) -> void
+auto SlotsController::applyEngineState(const targets::EngineState& state) -> void
 {
     slots_.reset(state.models, now());
-    // What was under way is settled by the engine's own list.
+    // The engine's state also gives the outcome of a load in progress.
     if (loading_)
         endTurn();
-    changed();
+    notifyChange();
 }
 
 auto SlotsController::pinResident(const ModelName& model) -> bool
@@ -169,13 +169,13 @@
     return true;
 }
 
-auto SlotsController::failures(const ModelName& model) const -> int
+auto SlotsController::loadFailures(const ModelName& model) const -> int
 {
-    const auto found = failures_.find(model);
-    return found == failures_.end() ? 0 : found->second;
+    const auto found = loadFailures_.find(model);
+    return found == loadFailures_.end() ? 0 : found->second;
 }
 
-auto SlotsController::changed() -> void
+auto SlotsController::notifyChange() -> void
 {
     if (onChange_)
         onChange_();
--- a/packages/router/target/LoadTurns.cpp
+++ b/packages/router/target/LoadTurns.cpp
@@ -4,97 +4,100 @@
 
 namespace {
 
-// Asked again this often: age counts in the queue, and an entry that froze or lost the ask is found out.
-constexpr auto askPeriod = Duration(1s);
-// A live entry answers the former ask as soon as the next one comes, so silence for three of them is a lost entry.
-constexpr auto silenceLimit = 3 * askPeriod;
-// What the weight store gives to all, shared by the targets of a deployment of today.
+// The request is repeated at this interval, because its age counts in the queue and because an entry may have stopped
+// or lost the request.
+constexpr auto requestPeriod = Duration(1s);
+// A live entry answers the previous request as soon as the next one arrives, so an entry that answers none of three
+// requests is lost.
+constexpr auto silenceLimit = 3 * requestPeriod;
+// Loads per second that the weight store can serve in total, and the number of targets that share them in a current
+// deployment. They set the rate while no entry answers.
 constexpr auto loadsPerSecond = 2.0;
-constexpr auto usualTargets = std::size_t(9);
+constexpr auto typicalTargets = std::size_t(9);
 
 } // namespace
 
-LoadTurns::LoadTurns(wire::MainLoop& loop, std::string target, Holder holder)
+LoadTurns::LoadTurns(wire::MainLoop& loop, std::string target, FindQueueHolder findHolder)
     : loop_(loop)
     , target_(std::move(target))
-    , holder_(std::move(holder))
-    , pacer_(loadsPerSecond, usualTargets)
+    , findHolder_(std::move(findHolder))
+    , pacer_(loadsPerSecond, typicalTargets)
 {
 }
 
-auto LoadTurns::ask(double weight, Moment oldestAt) -> void
+auto LoadTurns::requestTurn(double weight, Moment oldestAt) -> void
 {
     weight_ = weight;
     oldestAt_ = oldestAt;
-    if (held_ || (askedWeight_ && *askedWeight_ >= weight))
+    if (hasTurn_ || (requestedWeight_ && *requestedWeight_ >= weight))
         return;
-    if (!askedWeight_)
-        heardAt_ = now();
+    if (!requestedWeight_)
+        lastAnswerAt_ = now();
     send();
 }
 
 auto LoadTurns::send() -> void
 {
-    if (held_)
+    if (hasTurn_)
         return;
-    askedWeight_ = weight_;
-    askedAt_ = holder_();
-    again_ = loop_.timers().after(askPeriod, [this] { send(); });
-    if (!askedAt_ || now() - heardAt_ > silenceLimit)
-        return paceAlone();
-    auto request = askedAt_->loadTurnRequest();
+    requestedWeight_ = weight_;
+    requestedFrom_ = findHolder_();
+    retryTimer_ = loop_.timers().after(requestPeriod, [this] { send(); });
+    if (!requestedFrom_ || now() - lastAnswerAt_ > silenceLimit)
+        return paceLocally();
+    auto request = requestedFrom_->loadTurnRequest();
     request.setTarget(target_);
     request.setWeight(weight_);
     const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(now() - oldestAt_);
     request.setWaitedMs(static_cast<std::uint32_t>(std::max<std::int64_t>(waited.count(), 0)));
-    const auto number = ++number_;
-    loop_.spawn(request.send().then([this, number](auto&& answer) { answered(number, answer.getGranted()); },
+    const auto number = ++lastRequest_;
+    loop_.spawn(request.send().then([this, number](auto&& answer) { handleAnswer(number, answer.getGranted()); },
         [this, number](kj::Exception&&) {
-            if (number == number_ && !held_)
-                paceAlone();
+            if (number == lastRequest_ && !hasTurn_)
+                paceLocally();
         }));
 }
 
-auto LoadTurns::answered(std::uint64_t number, bool granted) -> void
+auto LoadTurns::handleAnswer(std::uint64_t number, bool granted) -> void
 {
-    heardAt_ = now();
-    if (!granted || held_ || !askedWeight_)
+    lastAnswerAt_ = now();
+    if (!granted || hasTurn_ || !requestedWeight_)
         return;
-    // A grant for an older ask is one all the same: the queue took this target's ask out.
-    if (number <= number_)
-        begin();
+    // A grant for an older request counts too: granting it removed this target from the queue.
+    if (number <= lastRequest_)
+        startTurn();
 }
 
-auto LoadTurns::paceAlone() -> void
+auto LoadTurns::paceLocally() -> void
 {
     if (pacer_.take(now()))
-        begin();
+        startTurn();
 }
 
-auto LoadTurns::begin() -> void
+auto LoadTurns::startTurn() -> void
 {
-    held_ = true;
-    again_ = {};
-    // In a later turn: the caller may be in the middle of looking through its queue.
+    hasTurn_ = true;
+    retryTimer_ = {};
+    // Deferred to a later event loop turn, because the caller may be iterating over its queue.
     loop_.spawn(kj::evalLater([this] {
-        if (held_ && onTurn_)
+        if (hasTurn_ && onTurn_)
             onTurn_();
     }));
 }
 
-auto LoadTurns::done() -> void
+auto LoadTurns::releaseTurn() -> void
 {
-    if (!held_ && !askedWeight_)
+    if (!hasTurn_ && !requestedWeight_)
         return;
-    held_ = false;
-    askedWeight_.reset();
-    again_ = {};
-    if (!askedAt_)
+    hasTurn_ = false;
+    requestedWeight_.reset();
+    retryTimer_ = {};
+    if (!requestedFrom_)
         return;
-    auto request = askedAt_->loadDoneRequest();
+    auto request = requestedFrom_->loadDoneRequest();
     request.setTarget(target_);
     loop_.spawn(request.send().ignoreResult().catch_([](kj::Exception&&) {}));
-    askedAt_.reset();
+    requestedFrom_.reset();
 }
 
 } // namespace eelgrass::router
--- a/packages/router/target/LoadTurns.h
+++ b/packages/router/target/LoadTurns.h
@@ -9,47 +9,49 @@
 
 namespace eelgrass::router {
 
-/// The turns of one target process at the weight store: asked of the entry that holds the load queue, and taken at the
-/// target's own pace while no entry answers.
+/// Limits how often one target process loads from the weight store. Turns are requested from the entry that holds the
+/// load queue; while no entry answers, the target takes turns at a fixed rate of its own.
 ///
 /// ```cpp
-/// turns.ask(weight, oldestAt);   // onTurn is called when the turn comes
-/// turns.done();                  // after the load
+/// turns.requestTurn(weight, oldestAt);   // onTurn is called when the turn comes
+/// turns.releaseTurn();                  // after the load
 /// ```
 class LoadTurns {
 public:
     using Listener = wire::schema::EntryListener::Client;
-    /// The entry that holds the queue, as far as this target knows; empty when none is connected.
-    using Holder = std::function<std::optional<Listener>()>;
+    /// Finds the connected entry that holds the load queue; empty when no entry is connected.
+    using FindQueueHolder = std::function<std::optional<Listener>()>;
 
-    LoadTurns(wire::MainLoop& loop, std::string target, Holder holder);
+    LoadTurns(wire::MainLoop& loop, std::string target, FindQueueHolder findHolder);
 
     auto onTurn(std::function<void()> callback) -> void { onTurn_ = std::move(callback); }
-    /// Asks for a turn, or tells the queue that more or others wait now. `weight` is that of the classes who wait.
-    auto ask(double weight, Moment oldestAt) -> void;
-    [[nodiscard]] auto held() const noexcept -> bool { return held_; }
-    /// The load ended, or nothing waits for one any more.
-    auto done() -> void;
+    /// Requests a turn. A request already sent is updated at once if `weight` has risen, and otherwise when it is
+    /// repeated. `weight` is the weight of the classes whose requests wait for the load; `oldestAt` is when the oldest
+    /// of these requests was accepted.
+    auto requestTurn(double weight, Moment oldestAt) -> void;
+    [[nodiscard]] auto hasTurn() const noexcept -> bool { return hasTurn_; }
+    /// Ends the turn, or withdraws the request for one, when the load has ended or nothing waits for a load any more.
+    auto releaseTurn() -> void;
 
 private:
     auto send() -> void;
-    auto answered(std::uint64_t number, bool granted) -> void;
-    auto paceAlone() -> void;
-    auto begin() -> void;
+    auto handleAnswer(std::uint64_t number, bool granted) -> void;
+    auto paceLocally() -> void;
+    auto startTurn() -> void;
 
     wire::MainLoop& loop_;
     std::string target_;
-    Holder holder_;
+    FindQueueHolder findHolder_;
     std::function<void()> onTurn_;
     decisions::LoadRateLimiter pacer_;
     double weight_ = 0;
     Moment oldestAt_ {};
-    std::optional<double> askedWeight_;
-    std::optional<Listener> askedAt_;
-    std::uint64_t number_ = 0;
-    Moment heardAt_ {};
-    bool held_ = false;
-    Timer again_;
+    std::optional<double> requestedWeight_;
+    std::optional<Listener> requestedFrom_;
+    std::uint64_t lastRequest_ = 0;
+    Moment lastAnswerAt_ {};
+    bool hasTurn_ = false;
+    Timer retryTimer_;
 };
 
 } // namespace eelgrass::router
--- a/packages/router/target/PauseWatch.h
+++ b/packages/router/target/PauseDetector.h
@@ -7,24 +7,24 @@
 
 namespace eelgrass::router {
 
-/// Notices that the process stood still: stopped, swapped out, or on a machine that slept.
+/// Detects that the process was paused: stopped, swapped out, or on a machine that was suspended.
 ///
-/// A process that stood still may have lost its lease, its sessions and its target without knowing it. What it is about
-/// to do is then checked first.
-class PauseWatch {
+/// A process that was paused may have lost its lease, its sessions and its target without noticing, so it must check
+/// its ownership before it acts again.
+class PauseDetector {
 public:
-    /// A gap of the boot clock over this is a pause. Whoever takes over a target waits longer than this before its
-    /// first order, so that a shorter, unnoticed pause does no harm.
+    /// A gap in the boot clock longer than this is a pause. A process that takes over a target waits longer than this
+    /// before its first order, so that a shorter, undetected pause of the old owner does no harm.
     static constexpr auto limit = Duration(1s);
 
-    explicit PauseWatch(TimerService& timers, std::function<Moment()> bootClock = bootNow)
+    explicit PauseDetector(TimerService& timers, std::function<Moment()> bootClock = bootNow)
         : clock_(std::move(bootClock))
         , last_(clock_())
         , timer_(timers.every(tick, [this] { look(); }))
     {
     }
 
-    /// How many pauses there were. It looks at the clock itself, so that it also counts one that ended just now.
+    /// Number of pauses so far. Reads the clock, so that a pause that has just ended is included.
     [[nodiscard]] auto count() -> std::uint64_t
     {
         look();
--- a/packages/router/target/Runner.cpp
+++ b/packages/router/target/Runner.cpp
@@ -147,7 +147,7 @@
 
 auto EngineRunner::resume(const AttemptPtr& attempt, int resumes, std::string reason) -> kj::Promise<void>
 {
-    log::warn("engine stream interrupted",
+    log::warn("engine stream broke",
         { { "step", "engine" }, { "attempt", attempt->request.attempt.str() }, { "reason", reason } });
     if (resumes > maxResumes) {
         reportMissing();
