--- a/packages/router/AdapterTable.cpp
+++ b/packages/router/AdapterTable.cpp
@@ -16,7 +16,7 @@
     return found == shard->end() ? nullptr : &found->second;
 }
 
-auto AdapterTable::own(std::size_t shard) -> Shard&
+auto AdapterTable::detachShard(std::size_t shard) -> Shard&
 {
     auto copy = shards_[shard] ? std::make_shared<Shard>(*shards_[shard]) : std::make_shared<Shard>();
     auto& owned = *copy;
@@ -26,7 +26,7 @@
 
 auto AdapterTable::set(const AdapterId& name, std::string text) -> void
 {
-    auto& shard = own(shardOf(name.view()));
+    auto& shard = detachShard(shardOf(name.view()));
     const auto before = shard.size();
     text.shrink_to_fit();
     shard.insert_or_assign(name, std::move(text));
@@ -36,10 +36,10 @@
 auto AdapterTable::erase(const AdapterId& name) -> void
 {
     if (find(name.view()))
-        size_ -= own(shardOf(name.view())).erase(name);
+        size_ -= detachShard(shardOf(name.view())).erase(name);
 }
 
-auto AdapterTable::each(const std::function<void(const AdapterId&, const std::string&)>& visit) const -> void
+auto AdapterTable::forEach(const std::function<void(const AdapterId&, const std::string&)>& visit) const -> void
 {
     auto sorted = std::map<std::string_view, std::pair<const AdapterId*, const std::string*>>();
     for (const auto& shard : shards_) {
--- a/packages/router/AdapterTable.h
+++ b/packages/router/AdapterTable.h
@@ -13,11 +13,11 @@
 
 namespace eelgrass::router {
 
-/// The adapters of a configuration, each as compact JSON text.
+/// Copy-on-write table of a configuration's adapters, each stored as compact JSON text.
 ///
-/// Made for 20,000 adapters of which a request reads one: text takes a fifth of the memory of a parsed document, and
-/// reading one costs a request a few microseconds. A copy shares all shards with its origin, and a change copies one
-/// shard only, so that a configuration change costs the same however many adapters there are.
+/// Designed for 20,000 adapters, of which a request reads one. Text takes a fifth of the memory of a parsed document,
+/// and parsing one adapter costs a request a few microseconds. A copy of the table shares all shards with the original,
+/// and a change copies only one shard, so that its cost hardly depends on the number of adapters.
 ///
 /// ```cpp
 /// auto next = table;
@@ -25,20 +25,22 @@
 /// ```
 class AdapterTable {
 public:
+    /// The JSON text of an adapter; null if there is none of this name.
     [[nodiscard]] auto find(std::string_view name) const -> const std::string*;
     [[nodiscard]] auto size() const noexcept -> std::size_t { return size_; }
     auto set(const AdapterId& name, std::string text) -> void;
     auto erase(const AdapterId& name) -> void;
-    /// In the order of names.
-    auto each(const std::function<void(const AdapterId&, const std::string&)>& visit) const -> void;
+    /// Visits the adapters in the order of their names.
+    auto forEach(const std::function<void(const AdapterId&, const std::string&)>& visit) const -> void;
 
 private:
     using Shard = std::map<AdapterId, std::string>;
-    // 20,000 adapters give shards of some eighty: a copy of one takes tens of microseconds.
+    // With 20,000 adapters a shard holds about 80, and copying one takes tens of microseconds.
     static constexpr auto shardCount = std::size_t(256);
 
     [[nodiscard]] static auto shardOf(std::string_view name) noexcept -> std::size_t;
-    auto own(std::size_t shard) -> Shard&;
+    /// Replaces a shard by a copy that is not shared, and returns the copy for modification.
+    auto detachShard(std::size_t shard) -> Shard&;
 
     std::array<std::shared_ptr<const Shard>, shardCount> shards_;
     std::size_t size_ = 0;
--- a/packages/router/Configuration.cpp
+++ b/packages/router/Configuration.cpp
@@ -10,29 +10,29 @@
 
 constexpr auto adaptersKey = "adapters";
 constexpr auto countKey = "adapter_count";
-constexpr auto restKey = "rest";
+constexpr auto sectionsKey = "rest";
 
-/// Reads a configuration document and gathers what is wrong with it.
+/// Reads a configuration document and collects the problems found in it.
 class DocumentReader {
 public:
-    auto complain(const std::string& where, const std::string& what) -> void
+    auto addProblem(const std::string& where, const std::string& what) -> void
     {
         problems_.append(where).append(" ").append(what).append("; ");
     }
 
-    auto each(const Json& parent, const char* key, const std::string& where,
+    auto forEachObject(const Json& parent, const char* key, const std::string& where,
         const std::function<void(const std::string&, const Json&)>& visit) -> void
     {
         const auto found = parent.find(key);
         if (found == parent.end())
             return;
         if (!found->is_object())
-            return complain(where + key, "must be an object");
+            return addProblem(where + key, "must be an object");
         for (const auto& [name, value] : found->items()) {
             if (value.is_object())
                 visit(name, value);
             else
-                complain(where + key + "." + name, "must be an object");
+                addProblem(where + key + "." + name, "must be an object");
         }
     }
 
@@ -41,24 +41,24 @@
         const auto found = parent.find(key);
         if (found == parent.end()) {
             if (required)
-                complain(where + "." + key, "is missing");
+                addProblem(where + "." + key, "is missing");
             return {};
         }
         if (!found->is_string()) {
-            complain(where + "." + key, "must be a string");
+            addProblem(where + "." + key, "must be a string");
             return {};
         }
         return found->get<std::string>();
     }
 
-    auto number(const Json& parent, const char* key, const std::string& where, std::uint64_t otherwise) -> std::uint64_t
+    auto number(const Json& parent, const char* key, const std::string& where, std::uint64_t fallback) -> std::uint64_t
     {
         const auto found = parent.find(key);
         if (found == parent.end())
-            return otherwise;
+            return fallback;
         if (!found->is_number_unsigned() || found->get<std::uint64_t>() == 0) {
-            complain(where + "." + key, "must be a positive whole number");
-            return otherwise;
+            addProblem(where + "." + key, "must be a positive whole number");
+            return fallback;
         }
         return found->get<std::uint64_t>();
     }
@@ -70,14 +70,14 @@
         if (found == parent.end())
             return list;
         if (!found->is_array()) {
-            complain(where + "." + key, "must be a list of strings");
+            addProblem(where + "." + key, "must be a list of strings");
             return list;
         }
         for (const auto& item : *found) {
             if (item.is_string())
                 list.push_back(item.get<std::string>());
             else
-                complain(where + "." + key, "must be a list of strings");
+                addProblem(where + "." + key, "must be a list of strings");
         }
         return list;
     }
@@ -110,17 +110,17 @@
 {
     auto record = AdapterRecord();
     record.base = reader.text(json, "base", where, true);
-    record.inForce = AdapterVersion(reader.number(json, "in_force", where, 0));
+    record.activeVersion = AdapterVersion(reader.number(json, "in_force", where, 0));
     record.allowed = reader.members(json, where);
     record.requestClass = RequestClass(reader.text(json, "class", where));
-    reader.each(json, "versions", where + ".", [&](const std::string& name, const Json& value) {
+    reader.forEachObject(json, "versions", where + ".", [&](const std::string& name, const Json& value) {
         const auto version = parseVersion(name);
         if (!version)
-            return reader.complain(where + ".versions." + name, "must be a positive whole number");
+            return reader.addProblem(where + ".versions." + name, "must be a positive whole number");
         record.digests[*version] = reader.text(value, "digest", where + ".versions." + name, true);
     });
-    if (record.inForce.value() != 0 && !record.digests.contains(record.inForce))
-        reader.complain(where + ".in_force", "names a version that is not there");
+    if (record.activeVersion.value() != 0 && !record.digests.contains(record.activeVersion))
+        reader.addProblem(where + ".in_force", "names a version that is not there");
     return record;
 }
 
@@ -149,32 +149,32 @@
 
 } // namespace
 
-auto Configuration::readRest(Json document) -> Result<std::shared_ptr<const Rest>>
+auto Configuration::readSections(Json document) -> Result<std::shared_ptr<const Sections>>
 {
     auto reader = DocumentReader();
-    auto rest = std::make_shared<Rest>();
-    reader.each(document, "members", "", [&](const std::string& name, const Json& member) {
-        reader.each(member, "keys", "members." + name + ".", [&](const std::string& digest, const Json& key) {
+    auto sections = std::make_shared<Sections>();
+    reader.forEachObject(document, "members", "", [&](const std::string& name, const Json& member) {
+        reader.forEachObject(member, "keys", "members." + name + ".", [&](const std::string& digest, const Json& key) {
             auto where = "members." + name + ".keys." + digest;
-            rest->callers[digest] = { MemberId(name), RequestClass(reader.text(key, "class", where)) };
+            sections->callers[digest] = { MemberId(name), RequestClass(reader.text(key, "class", where)) };
         });
     });
-    reader.each(document, "services", "", [&](const std::string& name, const Json& service) {
-        rest->services[name] = readService(reader, "services." + name, service);
+    reader.forEachObject(document, "services", "", [&](const std::string& name, const Json& service) {
+        sections->services[name] = readService(reader, "services." + name, service);
     });
-    reader.each(document, "classes", "", [&](const std::string& name, const Json& json) {
-        rest->classes[RequestClass(name)] = readClass(reader, "classes." + name, json);
+    reader.forEachObject(document, "classes", "", [&](const std::string& name, const Json& json) {
+        sections->classes[RequestClass(name)] = readClass(reader, "classes." + name, json);
     });
-    reader.each(
-        document, "drained", "", [&](const std::string& name, const Json&) { rest->drained.insert(TargetId(name)); });
+    reader.forEachObject(document, "drained", "",
+        [&](const std::string& name, const Json&) { sections->drained.insert(TargetId(name)); });
     if (!reader.problems().empty())
         return invalid(reader.problems());
-    rest->document = std::move(document);
-    return std::shared_ptr<const Rest>(std::move(rest));
+    sections->document = std::move(document);
+    return std::shared_ptr<const Sections>(std::move(sections));
 }
 
 Configuration::Configuration()
-    : rest_(std::make_shared<Rest>())
+    : sections_(std::make_shared<Sections>())
 {
 }
 
@@ -192,13 +192,13 @@
     const auto adapters = patch.find(adaptersKey);
     if (adapters != patch.end())
         BOOST_LEAF_CHECK(next.patchAdapters(*adapters));
-    // Most changes touch adapters alone; the members, of whom there may be thousands, are then not read again.
+    // Most changes affect adapters only; the members, of which there may be thousands, are then not parsed again.
     if (patch.size() > (adapters == patch.end() ? 0 : 1)) {
         auto others = patch;
         others.erase(adaptersKey);
-        auto document = rest_->document;
+        auto document = sections_->document;
         document.merge_patch(others);
-        BOOST_LEAF_ASSIGN(next.rest_, readRest(std::move(document)));
+        BOOST_LEAF_ASSIGN(next.sections_, readSections(std::move(document)));
     }
     return next;
 }
@@ -222,11 +222,11 @@
         auto adapter = known ? Json::parse(*known) : Json::object();
         adapter.merge_patch(change);
         if (name.find_first_of("@#/") != std::string::npos)
-            reader.complain(where, "must not contain @, # or /");
+            reader.addProblem(where, "must not contain @, # or /");
         if (adapter.is_object())
             readAdapter(reader, where, adapter);
         else
-            reader.complain(where, "must be an object");
+            reader.addProblem(where, "must be an object");
         adapters_.set(AdapterId(name), adapter.dump());
     }
     if (!reader.problems().empty())
@@ -236,13 +236,13 @@
 
 auto Configuration::text() const -> std::string
 {
-    auto all = rest_->document.dump();
+    auto all = sections_->document.dump();
     all.pop_back();
     if (all.size() > 1)
         all += ',';
     all.append("\"").append(adaptersKey).append("\":{");
     auto first = true;
-    adapters_.each([&](const AdapterId& name, const std::string& adapter) {
+    adapters_.forEach([&](const AdapterId& name, const std::string& adapter) {
         all.append(first ? "" : ",").append(Json(name.str()).dump()).append(":").append(adapter);
         first = false;
     });
@@ -251,8 +251,8 @@
 
 auto Configuration::snapshot() const -> std::string
 {
-    auto lines = Json { { countKey, adapters_.size() }, { restKey, rest_->document } }.dump() + "\n";
-    adapters_.each([&](const AdapterId& name, const std::string& adapter) {
+    auto lines = Json { { countKey, adapters_.size() }, { sectionsKey, sections_->document } }.dump() + "\n";
+    adapters_.forEach([&](const AdapterId& name, const std::string& adapter) {
         lines.append("{").append(Json(name.str()).dump()).append(":").append(adapter).append("}\n");
     });
     return lines;
@@ -272,13 +272,14 @@
         rest.remove_prefix(end + 1);
         if (std::exchange(first, false)) {
             count = line.value(countKey, std::size_t(0));
-            BOOST_LEAF_ASSIGN(result.rest_, readRest(line.value(restKey, Json::object())));
+            BOOST_LEAF_ASSIGN(result.sections_, readSections(line.value(sectionsKey, Json::object())));
             continue;
         }
         for (const auto& [name, adapter] : line.items())
             result.adapters_.set(AdapterId(name), adapter.dump());
     }
-    // A text cut between two lines reads well, and would make this entry refuse callers of the adapters that are gone.
+    // A text truncated between two lines is still valid JSON lines; accepting it would make this entry refuse callers
+    // of the missing adapters.
     if (first || result.adapters_.size() != count)
         return invalid("the snapshot is not whole");
     return result;
@@ -286,20 +287,20 @@
 
 auto Configuration::callerByKeyDigest(const std::string& digest) const -> const Caller*
 {
-    const auto found = rest_->callers.find(digest);
-    return found == rest_->callers.end() ? nullptr : &found->second;
+    const auto found = sections_->callers.find(digest);
+    return found == sections_->callers.end() ? nullptr : &found->second;
 }
 
 auto Configuration::service(const std::string& name) const -> const ServiceRecord*
 {
-    const auto found = rest_->services.find(name);
-    return found == rest_->services.end() ? nullptr : &found->second;
+    const auto found = sections_->services.find(name);
+    return found == sections_->services.end() ? nullptr : &found->second;
 }
 
 auto Configuration::requestClass(const RequestClass& name) const -> ClassRecord
 {
-    const auto found = rest_->classes.find(name);
-    return found == rest_->classes.end() ? ClassRecord() : found->second;
+    const auto found = sections_->classes.find(name);
+    return found == sections_->classes.end() ? ClassRecord() : found->second;
 }
 
 auto Configuration::anyAllowedMember(std::string_view model) const -> MemberId
@@ -319,12 +320,12 @@
     const auto* known = adapters_.find(name.view());
     auto reader = DocumentReader();
     const auto record = known ? readAdapter(reader, "adapters", Json::parse(*known)) : AdapterRecord();
-    // An adapter of another member is told as absent, so that nobody learns what rivals have.
+    // An adapter of another member is reported as absent, so that members cannot find out which adapters others have.
     if (!known || !record.allowed.contains(member))
         return fail(Error(
             Step::Resolve, 404, "unknown_model", "there is no model '" + std::string(model) + "' for this caller"));
     const auto version
-        = at == std::string_view::npos ? std::optional(record.inForce) : parseVersion(model.substr(at + 1));
+        = at == std::string_view::npos ? std::optional(record.activeVersion) : parseVersion(model.substr(at + 1));
     const auto digest = version ? record.digests.find(*version) : record.digests.end();
     if (digest == record.digests.end())
         return fail(Error(Step::Resolve, 404, "unknown_version", "there is no such version of '" + name.str() + "'"));
--- a/packages/router/Configuration.h
+++ b/packages/router/Configuration.h
@@ -18,16 +18,16 @@
 
 using Json = nlohmann::json;
 
-/// Who a key belongs to.
+/// The owner of an API key.
 struct Caller {
     MemberId member;
-    /// Class of this key's requests; empty leaves it to the adapter or service.
+    /// Class of requests made with this key; if empty, the adapter or service sets the class.
     RequestClass requestClass;
 };
 
 struct AdapterRecord {
     std::string base;
-    AdapterVersion inForce;
+    AdapterVersion activeVersion;
     std::map<AdapterVersion, std::string> digests;
     std::set<MemberId> allowed;
     RequestClass requestClass;
@@ -35,18 +35,18 @@
 
 struct ServiceRecord {
     std::set<MemberId> allowed;
-    /// `METHOD /prefix` of the calls that run at most once.
+    /// Calls that run at most once, each given as `METHOD /prefix`.
     std::vector<std::string> neverRepeat;
     RequestClass requestClass;
 };
 
 struct ClassRecord {
     std::chrono::milliseconds deadline { 60000 };
-    /// Share of a contended target against other classes.
+    /// Share of a contended target relative to other classes.
     std::uint32_t weight = 1;
 };
 
-/// An adapter and version, settled once for a request and kept to its end.
+/// The adapter and version that a request uses, resolved once and kept until the request ends.
 struct ResolvedModel {
     AdapterId adapter;
     AdapterVersion version;
@@ -55,10 +55,11 @@
     RequestClass requestClass;
 };
 
-/// The model of a call that turns out to run, or to have run, as `name`, whatever version is in force now.
+/// `model` with its name and version taken from `name`, for a call that runs or has run on that version, whichever
+/// version is in force now. Unchanged if `name` contains no valid version.
 [[nodiscard]] auto withModelName(ResolvedModel model, const ModelName& name) -> ResolvedModel;
 
-/// One accepted configuration. It never changes; the next version shares with it whatever the patch left alone.
+/// One accepted version of the configuration. It is immutable; the next version shares all unpatched parts with it.
 ///
 /// ```cpp
 /// auto configuration = Configuration::parse(ConfigVersion(3), document);
@@ -66,50 +67,53 @@
 /// ```
 class Configuration {
 public:
-    /// Fails with every reason in one message when the document is not a valid configuration.
+    /// Fails with all problems in one message if the document is not a valid configuration.
     [[nodiscard]] static auto parse(ConfigVersion version, const Json& document) -> Result<Configuration>;
-    /// Reads what `snapshot` wrote.
+    /// Reads the text that `snapshot` returned.
     [[nodiscard]] static auto fromSnapshot(ConfigVersion version, std::string_view text) -> Result<Configuration>;
 
     Configuration();
 
-    /// The next version by a JSON merge patch (RFC 7396). Reads and checks only what the patch names.
+    /// The next version, made by a JSON merge patch (RFC 7396). Only the patched adapters are parsed and validated, and
+    /// the remaining sections only if the patch changes any of them.
     [[nodiscard]] auto patched(ConfigVersion version, const Json& patch) const -> Result<Configuration>;
 
     [[nodiscard]] auto version() const noexcept -> ConfigVersion { return version_; }
     /// The whole document as JSON text.
     [[nodiscard]] auto text() const -> std::string;
-    /// JSON lines: all but the adapters, then one adapter a line, so that no reader needs the whole as one document.
+    /// The configuration as JSON lines: first everything except the adapters, then one adapter per line, so that a
+    /// reader need not parse the whole as one document.
     [[nodiscard]] auto snapshot() const -> std::string;
 
     [[nodiscard]] auto callerByKeyDigest(const std::string& digest) const -> const Caller*;
     [[nodiscard]] auto service(const std::string& name) const -> const ServiceRecord*;
     /// Targets that get no new work.
-    [[nodiscard]] auto drained() const noexcept -> const std::set<TargetId>& { return rest_->drained; }
-    /// One adapter as JSON text; null when there is none of this name.
+    [[nodiscard]] auto drained() const noexcept -> const std::set<TargetId>& { return sections_->drained; }
+    /// One adapter as JSON text; null if there is none of this name.
     [[nodiscard]] auto adapterText(const std::string& name) const -> const std::string* { return adapters_.find(name); }
-    /// A member that may call the model; empty when nobody may.
+    /// Any one member that may call the model; empty if there is none.
     [[nodiscard]] auto anyAllowedMember(std::string_view model) const -> MemberId;
     [[nodiscard]] auto requestClass(const RequestClass& name) const -> ClassRecord;
     [[nodiscard]] auto adapterCount() const noexcept -> std::size_t { return adapters_.size(); }
 
-    /// Settles `adapter` or `adapter@version` for a member. What the member may not call is told apart from nothing.
+    /// Resolves `adapter` or `adapter@version` for a member. The error for an adapter that the member may not call is
+    /// the same as for an adapter that does not exist.
     [[nodiscard]] auto resolve(std::string_view model, const MemberId& member) const -> Result<ResolvedModel>;
 
 private:
-    /// All but the adapters.
-    struct Rest {
+    /// Everything except the adapters.
+    struct Sections {
         Json document = Json::object();
         std::map<std::string, Caller> callers;
         std::map<std::string, ServiceRecord> services;
         std::map<RequestClass, ClassRecord> classes;
         std::set<TargetId> drained;
     };
-    [[nodiscard]] static auto readRest(Json document) -> Result<std::shared_ptr<const Rest>>;
+    [[nodiscard]] static auto readSections(Json document) -> Result<std::shared_ptr<const Sections>>;
     [[nodiscard]] auto patchAdapters(const Json& patch) -> Result<void>;
 
     ConfigVersion version_;
-    std::shared_ptr<const Rest> rest_;
+    std::shared_ptr<const Sections> sections_;
     AdapterTable adapters_;
 };
 
--- a/packages/router/Poller.cpp
+++ b/packages/router/Poller.cpp
@@ -8,33 +8,33 @@
 
 namespace {
 
-// A configuration must be in force within 12 s: the longest pause after an outage, with its jitter, leaves half of
-// that.
-constexpr auto longestPause = Duration(4s);
+// A configuration must be in force within 12 s. The longest interval between polls after an outage, with its jitter,
+// leaves half of that.
+constexpr auto longestInterval = Duration(4s);
 
 } // namespace
 
-Poller::Poller(wire::MainLoop& loop, std::string what, Duration period, Poll poll)
+Poller::Poller(wire::MainLoop& loop, std::string subject, Duration period, Poll poll)
     : loop_(loop)
-    , what_(std::move(what))
+    , subject_(std::move(subject))
     , poll_(std::move(poll))
-    , schedule_(period, longestPause, std::random_device()())
+    , schedule_(period, longestInterval, std::random_device()())
 {
 }
 
-auto Poller::tick() -> void
+auto Poller::pollOnce() -> void
 {
     using Outcome = decisions::PollSchedule::Outcome;
-    loop_.spawn(poll_().then([this] { again(Outcome::Answered); },
+    loop_.spawn(poll_().then([this] { scheduleNext(Outcome::Answered); },
         [this](kj::Exception&& lost) {
-            log::warn(what_ + " not read", { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
-            again(Outcome::Failed);
+            log::warn(subject_ + " not read", { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
+            scheduleNext(Outcome::Failed);
         }));
 }
 
-auto Poller::again(decisions::PollSchedule::Outcome outcome) -> void
+auto Poller::scheduleNext(decisions::PollSchedule::Outcome outcome) -> void
 {
-    timer_ = loop_.timers().after(schedule_.next(outcome), [this] { tick(); });
+    timer_ = loop_.timers().after(schedule_.next(outcome), [this] { pollOnce(); });
 }
 
 } // namespace eelgrass::router
--- a/packages/router/Poller.h
+++ b/packages/router/Poller.h
@@ -10,23 +10,23 @@
 
 namespace eelgrass::router {
 
-/// Reads something of the platform again and again, one read at a time, with jitter, and less often while it fails.
+/// Reads from the platform periodically, one read at a time, with jitter and with backoff while reads fail.
 class Poller {
 public:
     using Poll = std::function<kj::Promise<void>()>;
 
-    /// `what` names the thing read in the log line of a failure.
-    Poller(wire::MainLoop& loop, std::string what, Duration period, Poll poll);
+    /// `subject` says in the log line of a failure what could not be read.
+    Poller(wire::MainLoop& loop, std::string subject, Duration period, Poll poll);
 
-    /// Polls at once and from here on.
-    auto start() -> void { tick(); }
+    /// Polls now and then periodically.
+    auto start() -> void { pollOnce(); }
 
 private:
-    auto tick() -> void;
-    auto again(decisions::PollSchedule::Outcome outcome) -> void;
+    auto pollOnce() -> void;
+    auto scheduleNext(decisions::PollSchedule::Outcome outcome) -> void;
 
     wire::MainLoop& loop_;
-    std::string what_;
+    std::string subject_;
     Poll poll_;
     decisions::PollSchedule schedule_;
     Timer timer_;
--- a/packages/router/controllers/ConfigController.cpp
+++ b/packages/router/controllers/ConfigController.cpp
@@ -12,21 +12,21 @@
 
 constexpr auto headKey = "config/head";
 constexpr auto patchPrefix = "config/patch/";
-// Names the newest snapshot; it is written after the object, so that it never names one that is not there.
+// Row that names the newest snapshot. It is written after the snapshot object, so that it never names a missing object.
 constexpr auto snapshotKey = "config/snapshot";
 constexpr auto snapshotPrefix = "config/snapshots/";
-// Patches whose numbers differ only in the last two digits are read by one listing. A snapshot for each such group
-// leaves a fresh process one object and one or two listings to read: a whole zone may start at once.
+// Patches whose numbers differ only in the last two digits form a group that one listing reads. With one snapshot per
+// group, a starting process reads one object and one or two listings. All processes of a zone may start at once.
 constexpr auto groupDigits = std::size_t(2);
 constexpr auto groupSize = std::uint64_t(100);
-// Fewer missing patches than this are read one by one: a listing brings the whole group.
-constexpr auto listFrom = std::uint64_t(5);
-// 400 entries reading one row a second stay far under the two thousand reads a second that the platform gives.
+// Fewer missing patches than this are read one by one, because a listing returns the whole group.
+constexpr auto listThreshold = std::uint64_t(5);
+// 400 entries that each read one row a second stay far below the platform's capacity of 2,000 reads a second.
 constexpr auto pollPeriod = Duration(1s);
 
 auto patchKey(ConfigVersion version) -> std::string
 {
-    // Padded, so that the platform lists patches in the order of their numbers.
+    // Zero-padded, so that the platform lists patches in numerical order.
     constexpr auto width = 12;
     auto digits = std::to_string(version.value());
     return patchPrefix + std::string(width - std::min<std::size_t>(width, digits.size()), '0') + digits;
@@ -37,7 +37,7 @@
     return ConfigVersion(std::stoull(key.substr(std::string_view(patchPrefix).size())));
 }
 
-auto versionIn(const platform::Row& row) -> ConfigVersion
+auto versionOf(const platform::Row& row) -> ConfigVersion
 {
     return row.version == 0 ? ConfigVersion(0) : ConfigVersion(row.value.at("version").get<std::uint64_t>());
 }
@@ -55,25 +55,25 @@
 
 auto ConfigController::poll() -> kj::Promise<void>
 {
-    return platform_.read(headKey).then([this](platform::Row row) { return catchUp(versionIn(row)); }).then([this] {
+    return platform_.read(headKey).then([this](platform::Row row) { return advanceTo(versionOf(row)); }).then([this] {
         ready_ = true;
     });
 }
 
-auto ConfigController::catchUp(ConfigVersion head) -> kj::Promise<void>
+auto ConfigController::advanceTo(ConfigVersion head) -> kj::Promise<void>
 {
-    // Versions only rise, by number and not by the order of arrival.
+    // Versions are compared by number, so that a stale answer that arrives late never lowers the version.
     if (head <= current_->version())
         return kj::READY_NOW;
     const auto behind = head.value() - current_->version().value();
     const auto next = current_->version().next();
-    auto step = behind < listFrom ? readPatch(next)
-        : behind < groupSize      ? readPatches(next)
-                                  : readSnapshot().then([this, next] {
-                                   const auto jumped = current_->version() >= next;
-                                   return jumped ? kj::Promise<void>(kj::READY_NOW) : readPatches(next);
+    auto step = behind < listThreshold ? readPatch(next)
+        : behind < groupSize           ? readPatches(next)
+                                       : readSnapshot().then([this, next] {
+                                   const auto reached = current_->version() >= next;
+                                   return reached ? kj::Promise<void>(kj::READY_NOW) : readPatches(next);
                                });
-    return step.then([this, head] { return catchUp(head); });
+    return step.then([this, head] { return advanceTo(head); });
 }
 
 auto ConfigController::readPatch(ConfigVersion version) -> kj::Promise<void>
@@ -98,13 +98,13 @@
 auto ConfigController::readSnapshot() -> kj::Promise<void>
 {
     return platform_.read(snapshotKey).then([this](platform::Row row) -> kj::Promise<void> {
-        const auto version = versionIn(row);
-        // The reader that is only a little behind the newest snapshot gains nothing from it.
+        const auto version = versionOf(row);
+        // A snapshot that is not newer than the current version is useless.
         if (version <= current_->version())
             return kj::READY_NOW;
         return platform_.getObject(snapshotPrefix + std::to_string(version.value()))
             .then([this, version](std::optional<std::string> text) {
-                // A snapshot is a shortcut: without it, or with a damaged one, the patches say the same.
+                // A snapshot only saves reads: if it is missing or damaged, the patches give the same configuration.
                 if (!text || version <= current_->version())
                     return;
                 current_ = orElse(
@@ -113,23 +113,24 @@
                         return ConfigurationPtr(std::make_shared<Configuration>(std::move(read)));
                     },
                     [&](const Error& error) {
-                        log::warn("snapshot not used", { { "step", "configure" }, { "reason", error.message() } });
+                        log::warn(
+                            "invalid snapshot ignored", { { "step", "configure" }, { "reason", error.message() } });
                         return current_;
                     });
             });
     });
 }
 
-auto ConfigController::keepSnapshot() -> kj::Promise<void>
+auto ConfigController::writeSnapshot() -> kj::Promise<void>
 {
     return platform_.read(snapshotKey).then([this](platform::Row row) -> kj::Promise<void> {
         const auto configuration = current_;
         const auto version = configuration->version().value();
-        if (version < versionIn(row).value() + groupSize)
+        if (version < versionOf(row).value() + groupSize)
             return kj::READY_NOW;
         return platform_.putObject(snapshotPrefix + std::to_string(version), configuration->snapshot())
             .then([this, version, before = row.version] {
-                // Another entry may have kept a newer one meanwhile; then this write is refused and nothing is lost.
+                // If another entry has written a newer snapshot meanwhile, this write is refused and nothing is lost.
                 auto transaction = platform::Transaction();
                 transaction.require = { { snapshotKey, before } };
                 transaction.write = { { snapshotKey, { { "version", version } } } };
@@ -152,7 +153,7 @@
         [](const Error& error) { KJ_FAIL_REQUIRE("an accepted patch does not parse", error.message().c_str()); });
 }
 
-auto ConfigController::stale(ConfigVersion base) const -> Error
+auto ConfigController::staleVersionError(ConfigVersion base) const -> Error
 {
     const auto current = std::to_string(current_->version().value());
     return Error(Step::Configure, 412, "stale_version",
@@ -163,7 +164,7 @@
 {
     return poll().then([this, patch = std::move(patch)]() mutable -> kj::Promise<Outcome> {
         if (patch.base != current_->version())
-            return Outcome(stale(patch.base));
+            return Outcome(staleVersionError(patch.base));
         auto problem = orElse(
             [&]() -> Result<std::optional<Error>> {
                 BOOST_LEAF_CHECK(current_->patched(patch.base.next(), patch.patch));
@@ -188,12 +189,13 @@
     };
     return platform_.commit(std::move(transaction))
         .catch_([](kj::Exception&&) { return false; })
-        .then([this, patch = std::move(patch)](bool) { return settle(patch); });
+        .then([this, patch = std::move(patch)](bool) { return readOutcome(patch); });
 }
 
-auto ConfigController::settle(const ConfigPatch& patch) -> kj::Promise<Outcome>
+auto ConfigController::readOutcome(const ConfigPatch& patch) -> kj::Promise<Outcome>
 {
-    // Whether committed, refused or lost, the row of this number says whose patch was accepted.
+    // Whether the write was committed or refused or its answer was lost, the row of this version shows whose patch was
+    // accepted.
     const auto next = patch.base.next();
     return platform_.read(patchKey(next)).then([this, patch, next](platform::Row row) -> kj::Promise<Outcome> {
         if (row.version == 0)
@@ -201,13 +203,14 @@
                 Error(Step::Configure, 503, "not_accepted", "the platform did not take the patch").retryAfter(1s));
         const auto ours = row.value.value("request_id", "") == patch.requestId;
         return poll().then([this, ours, next, base = patch.base] {
-            // Only the entry that had a patch accepted looks whether a snapshot is due: no extra reads elsewhere.
+            // Only the entry whose patch was accepted checks whether a snapshot is due, so that other entries need no
+            // extra reads.
             if (ours) {
-                loop_.spawn(keepSnapshot().catch_([](kj::Exception&& lost) {
-                    log::warn("snapshot not kept", { { "reason", lost.getDescription().cStr() } });
+                loop_.spawn(writeSnapshot().catch_([](kj::Exception&& lost) {
+                    log::warn("snapshot not saved", { { "reason", lost.getDescription().cStr() } });
                 }));
             }
-            return ours ? Outcome(next) : Outcome(stale(base));
+            return ours ? Outcome(next) : Outcome(staleVersionError(base));
         });
     });
 }
--- a/packages/router/controllers/ConfigController.h
+++ b/packages/router/controllers/ConfigController.h
@@ -13,30 +13,32 @@
 
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-/// An operator's change against a numbered version.
+/// An operator's change to a specific version of the configuration.
 struct ConfigPatch {
     ConfigVersion base;
     /// JSON merge patch (RFC 7396).
     Json patch;
     std::string operatorName;
-    /// Names this submission, so that a lost answer of the platform is settled by reading.
+    /// Identifies this submission, so that reading the patch's row shows whether it was accepted when the platform's
+    /// answer was lost.
     std::string requestId;
 };
 
-/// Follows the accepted configuration and takes operators' patches. The version here only rises.
+/// Follows the accepted configuration and submits operators' patches. The current version only increases.
 ///
-/// Each patch is a row of its own. Every hundredth version is also kept whole in the object store, so that a process
-/// that starts reads one object and at most one listing, however many patches were ever accepted.
+/// Each patch is stored in its own row. A snapshot of the whole configuration is written to the object store about
+/// every 100 versions. A starting process therefore reads one object and one or two listings, however many patches were
+/// ever accepted.
 class ConfigController {
 public:
     ConfigController(wire::MainLoop& loop, platform::PlatformClient& platform);
 
-    /// Polls from here on.
+    /// Starts polling the platform.
     auto start() -> void;
     [[nodiscard]] auto ready() const noexcept -> bool { return ready_; }
     [[nodiscard]] auto current() const noexcept -> const ConfigurationPtr& { return current_; }
 
-    /// The new version, or why nothing changed.
+    /// Resolves to the new version, or to the reason why the patch was not accepted.
     [[nodiscard]] auto submit(ConfigPatch patch) -> kj::Promise<std::variant<ConfigVersion, Error>>;
     /// The accepted patches, oldest first.
     [[nodiscard]] auto history() -> kj::Promise<Json>;
@@ -45,15 +47,15 @@
     using Outcome = std::variant<ConfigVersion, Error>;
 
     auto poll() -> kj::Promise<void>;
-    auto catchUp(ConfigVersion head) -> kj::Promise<void>;
+    auto advanceTo(ConfigVersion head) -> kj::Promise<void>;
     auto readPatch(ConfigVersion version) -> kj::Promise<void>;
     auto readPatches(ConfigVersion first) -> kj::Promise<void>;
     auto readSnapshot() -> kj::Promise<void>;
-    auto keepSnapshot() -> kj::Promise<void>;
+    auto writeSnapshot() -> kj::Promise<void>;
     auto apply(ConfigVersion version, const Json& patch) -> void;
     auto commit(ConfigPatch patch) -> kj::Promise<Outcome>;
-    auto settle(const ConfigPatch& patch) -> kj::Promise<Outcome>;
-    [[nodiscard]] auto stale(ConfigVersion base) const -> Error;
+    auto readOutcome(const ConfigPatch& patch) -> kj::Promise<Outcome>;
+    [[nodiscard]] auto staleVersionError(ConfigVersion base) const -> Error;
 
     wire::MainLoop& loop_;
     platform::PlatformClient& platform_;
--- a/packages/router/controllers/LedgerController.cpp
+++ b/packages/router/controllers/LedgerController.cpp
@@ -13,25 +13,25 @@
 using Json = nlohmann::json;
 
 constexpr auto prefix = "run/";
-// A batch of claims stays small enough for one transaction; those over it go into the next.
+// Keeps a batch of claims small enough for one transaction; further claims go into the next.
 constexpr auto batchLimit = std::size_t(64);
-// An answer up to this size lies in the row; a larger one would slow every read of the table down.
-constexpr auto inRowLimit = std::size_t(16) << 10U;
+// Answers up to this size are stored in the row; a larger one would slow down every read of the table.
+constexpr auto rowAnswerLimit = std::size_t(16) << 10U;
 constexpr auto finishTries = 20;
 constexpr auto finishRetryDelay = Duration(500ms);
-// How long a caller may send its request again and get the same answer: over a night and a working day.
+// How long a caller can get the stored answer by sending its request again: a night and a working day.
 constexpr auto retention = std::chrono::hours(36);
-// One listing an hour by each entry; rows that an entry left behind are removed by whichever comes first.
+// Each entry lists the rows once an hour and removes expired ones, whichever entry wrote them.
 constexpr auto sweepPeriod = Duration(std::chrono::hours(1));
 constexpr auto sweepBatch = std::size_t(200);
 
-auto wallClock() -> std::int64_t
+auto unixSeconds() -> std::int64_t
 {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::seconds>(since).count();
 }
 
-auto escaped(const std::string& name) -> std::string
+auto escapeKeySegment(const std::string& name) -> std::string
 {
     auto out = std::string();
     for (const auto letter : name) {
@@ -54,7 +54,7 @@
 {
     return { { "state", "claimed" }, { "digest", claim.digest }, { "attempt", claim.attempt.str() },
         { "target", claim.target.str() }, { "epoch", claim.epoch.value() }, { "model", claim.model.str() },
-        { "at", wallClock() } };
+        { "at", unixSeconds() } };
 }
 
 auto toJson(const Error& error) -> Json
@@ -113,8 +113,8 @@
     return result;
 }
 
-/// JSON strings must be UTF-8; a service's answer need not be.
-auto isText(const std::string& bytes) -> bool
+/// Whether the bytes can be stored as a JSON string, which must be UTF-8; a service's answer need not be.
+auto isUtf8(const std::string& bytes) -> bool
 {
     try {
         (void)Json(bytes).dump();
@@ -143,8 +143,8 @@
 
 auto LedgerController::key(const MemberId& member, const std::string& idempotencyKey) -> std::string
 {
-    // The member's name cannot run over into the key: no member can reach another's row.
-    return prefix + escaped(member.str()) + "/" + idempotencyKey;
+    // The member's name is escaped so that it contains no '/', and no member can form the key of another member's row.
+    return prefix + escapeKeySegment(member.str()) + "/" + idempotencyKey;
 }
 
 auto LedgerController::read(const std::string& key) -> kj::Promise<LedgerRow>
@@ -165,27 +165,28 @@
 auto LedgerController::claim(std::string key, Claim claim, std::uint64_t version) -> kj::Promise<LedgerRow>
 {
     auto pair = kj::newPromiseAndFulfiller<void>();
-    gathered_.push_back({ key, std::move(claim), version, kj::mv(pair.fulfiller) });
+    pending_.push_back({ key, std::move(claim), version, kj::mv(pair.fulfiller) });
     if (!committing_) {
         committing_ = true;
-        // In the next turn, so that claims of one turn go out together; those that come while a transaction is under
-        // way go into the next.
+        // Deferred to the next event loop turn, so that the claims of this turn are written together. Claims that
+        // arrive during a transaction go into the next one.
         loop_.spawn(kj::evalLater([this] { flush(); }));
     }
-    // Committed, refused or lost: the row itself says whose attempt it names.
+    // Whether the write was committed or refused or its answer was lost, the row names the attempt that holds the
+    // claim.
     return pair.promise.then([this, key = std::move(key)] { return read(key); });
 }
 
 auto LedgerController::flush() -> void
 {
-    if (gathered_.empty()) {
+    if (pending_.empty()) {
         committing_ = false;
         return;
     }
     auto batch = std::make_shared<std::vector<Pending>>();
-    const auto count = std::min(batchLimit, gathered_.size());
-    std::move(gathered_.begin(), gathered_.begin() + static_cast<std::ptrdiff_t>(count), std::back_inserter(*batch));
-    gathered_.erase(gathered_.begin(), gathered_.begin() + static_cast<std::ptrdiff_t>(count));
+    const auto count = std::min(batchLimit, pending_.size());
+    std::move(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count), std::back_inserter(*batch));
+    pending_.erase(pending_.begin(), pending_.begin() + static_cast<std::ptrdiff_t>(count));
     loop_.spawn(commit(batch).then([this, batch] {
         for (auto& pending : *batch)
             pending.written->fulfill();
@@ -205,7 +206,7 @@
             [this, batch](bool committed) -> kj::Promise<void> {
                 if (committed || batch->size() == 1)
                     return kj::READY_NOW;
-                // One claim of the batch was refused and the others with it: each is tried by itself.
+                // One refused claim makes the whole transaction fail, so each claim is then written on its own.
                 auto alone = kj::heapArrayBuilder<kj::Promise<void>>(batch->size());
                 for (const auto& pending : *batch)
                     alone.add(commitOne(pending));
@@ -227,13 +228,13 @@
     auto value = toJson(row.claim);
     value["state"] = "finished";
     value["answer"] = toJson(answer);
-    const auto inRow = answer.text.size() <= inRowLimit && isText(answer.text);
+    const auto inRow = answer.text.size() <= rowAnswerLimit && isUtf8(answer.text);
     value["answer"]["in_object"] = !inRow;
     if (inRow)
         value["answer"]["text"] = answer.text;
     if (inRow)
         return write(std::move(key), std::move(row), std::move(value), 0);
-    // The object is there before the row names it.
+    // The object is written before the row refers to it.
     auto put = platform_.putObject(objectKey(key, row.claim), std::move(answer.text));
     return put.then(
         [this, key, row, value]() mutable { return write(std::move(key), std::move(row), std::move(value), 0); },
@@ -247,7 +248,8 @@
     transaction.write = { { key, value } };
     return platform_.commit(std::move(transaction))
         .then(
-            // Refused: an entry that joined the attempt has written the same answer, or the row passed on.
+            // A refused write means that an entry that joined the attempt has stored the same answer, or that the row
+            // now holds another claim.
             [](bool) -> kj::Promise<bool> { return true; },
             [this, key, row, value, tries](kj::Exception&&) -> kj::Promise<bool> {
                 if (tries >= finishTries)
@@ -263,7 +265,8 @@
     auto transaction = platform::Transaction();
     transaction.require = { { key, row.version } };
     transaction.write = { { key, toJson(Claim {}) } };
-    // If it fails, the next send of the request finds the claim and learns from the target that it did not run.
+    // If the write fails, the next send of the request finds the claim and learns from the target that the attempt did
+    // not run.
     return platform_.commit(std::move(transaction)).ignoreResult().catch_([](kj::Exception&&) {});
 }
 
@@ -271,9 +274,9 @@
 {
     return platform_.list(prefix).then([this](std::vector<platform::Row> rows) -> kj::Promise<void> {
         auto transaction = platform::Transaction();
-        const auto oldest = wallClock() - std::chrono::duration_cast<std::chrono::seconds>(retention).count();
+        const auto oldest = unixSeconds() - std::chrono::duration_cast<std::chrono::seconds>(retention).count();
         for (const auto& row : rows) {
-            if (row.value.value("at", wallClock()) >= oldest || transaction.remove.size() >= sweepBatch)
+            if (row.value.value("at", unixSeconds()) >= oldest || transaction.remove.size() >= sweepBatch)
                 continue;
             transaction.require.push_back({ row.key, row.version });
             transaction.remove.push_back(row.key);
--- a/packages/router/controllers/LedgerController.h
+++ b/packages/router/controllers/LedgerController.h
@@ -12,64 +12,68 @@
 
 namespace eelgrass::router {
 
-/// The attempt that may run a request, as the ledger has it. Written before anything is sent.
+/// A ledger record that names the only attempt that may run a request. Written before the request is sent.
 struct Claim {
-    /// Digest of path and body: another body under the same key is another request.
+    /// Digest of path and body, by which a different request under the same key is detected.
     std::string digest;
     AttemptId attempt;
     TargetId target;
     Epoch epoch;
-    /// Adapter and version that it runs on; empty for a plain service.
+    /// Adapter and version that the attempt runs on; empty for a plain service.
     ModelName model;
 };
 
-/// An answer as the ledger keeps it, to be given again to a caller that sends its request again.
+/// An answer stored in the ledger, which is replayed to a caller that sends its request again.
 struct StoredAnswer {
     int status = 200;
     std::string contentType;
     std::string text;
     std::uint32_t tokens = 0;
     std::string finishReason;
-    /// Set when the answer broke off, or nothing better than "unknown" can be said for good.
+    /// Set when the answer broke off, or when its outcome will remain unknown.
     std::optional<Error> error;
 };
 
-/// A row of the ledger. Version 0: there is none.
+/// A row of the ledger. Version 0 means that the row does not exist.
 struct LedgerRow {
     std::uint64_t version = 0;
     Claim claim;
     std::optional<StoredAnswer> answer;
 
-    /// No attempt may run the request now.
+    /// Whether no attempt holds a claim to run the request.
     [[nodiscard]] auto unclaimed() const noexcept -> bool { return version == 0 || claim.attempt.empty(); }
 };
 
 /// The ledger of requests that may run at most once: rows `run/<member>/<key>` in the platform's table service.
 ///
-/// A row is inserted before a request is first sent, and only if there is none; so however often and wherever a caller
-/// sends it, one attempt at most is ever started. Every call rejects while the platform is away.
+/// Before a request is first sent, its row is inserted, provided that none exists. However often and at whichever entry
+/// a caller sends the request, at most one attempt is therefore started. Reads and claims reject while the platform is
+/// unavailable.
 ///
 /// ```cpp
-/// auto row = ledger.claim(key, claim, 0);   // ours if row.claim.attempt == claim.attempt
+/// auto row = ledger.claim(key, claim, 0);   // succeeded if row.claim.attempt == claim.attempt
 /// ```
 class LedgerController {
 public:
     LedgerController(wire::MainLoop& loop, platform::PlatformClient& platform);
 
-    /// Removes rows past their time, from here on.
+    /// Starts removing expired rows periodically.
     auto start() -> void;
 
-    /// The row's key for a member's own key.
+    /// The key of the row for a member's idempotency key.
     [[nodiscard]] static auto key(const MemberId& member, const std::string& idempotencyKey) -> std::string;
 
     [[nodiscard]] auto read(const std::string& key) -> kj::Promise<LedgerRow>;
-    /// Writes the claim if the row still has `version`; the row as it then is. A lost answer is settled by reading the
-    /// row back. Claims of one turn go out in one transaction.
+    /// Writes the claim if the row still has `version`, then reads the row and resolves to it, so that the outcome is
+    /// known even if the answer to the write was lost. Claims made in one event loop turn are written in one
+    /// transaction.
     [[nodiscard]] auto claim(std::string key, Claim claim, std::uint64_t version) -> kj::Promise<LedgerRow>;
-    /// Adds the answer to the claim; tries for a while when the platform is away. True when the ledger has it.
+    /// Stores the answer in the claim's row, retrying for a limited time while the platform is unavailable. True when
+    /// the row was written, or when it has changed meanwhile.
     [[nodiscard]] auto finish(std::string key, LedgerRow row, StoredAnswer answer) -> kj::Promise<bool>;
-    /// Frees the claim of a request that did not run, so that its caller can send it again. The row stays: were it
-    /// removed, its versions would begin anew, and a slow writer could take the next claim for the one that it knows.
+    /// Clears the claim of a request that did not run, so that its caller can send the request again. The row is kept:
+    /// if it were removed, its versions would restart, and a delayed writer could overwrite a later claim whose row has
+    /// the version that the writer expects.
     [[nodiscard]] auto releaseClaim(std::string key, LedgerRow row) -> kj::Promise<void>;
 
 private:
@@ -89,7 +93,7 @@
 
     wire::MainLoop& loop_;
     platform::PlatformClient& platform_;
-    std::vector<Pending> gathered_;
+    std::vector<Pending> pending_;
     bool committing_ = false;
     Timer sweepTimer_;
 };
--- a/packages/router/controllers/QuarantineController.cpp
+++ b/packages/router/controllers/QuarantineController.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr auto prefix = "quarantine/";
-// Sessions pass a crash on within a push; the rows are for entries that came later, and hardly ever change.
+// Target processes push a crash to the entries connected to them. The rows serve entries that start later and rarely
+// change.
 constexpr auto pollPeriod = Duration(2s);
 
 } // namespace
@@ -42,20 +43,20 @@
 auto QuarantineController::recordCrash(const std::string& digest, std::uint32_t before) -> bool
 {
     const auto crashes = quarantine_.crashed(digest, before);
-    log::warn("engine lost under a request",
+    log::warn("engine died during a request",
         { { "step", "engine" }, { "digest", digest }, { "crashes", std::to_string(crashes) } });
     if (crashes < decisions::Quarantine::limit)
         return false;
-    keep(digest);
+    persist(digest);
     return true;
 }
 
-auto QuarantineController::keep(const std::string& digest) -> void
+auto QuarantineController::persist(const std::string& digest) -> void
 {
     auto transaction = platform::Transaction();
     transaction.write = { { prefix + digest, platform::Json::object() } };
     loop_.spawn(platform_.commit(std::move(transaction)).ignoreResult().catch_([](kj::Exception&& lost) {
-        log::warn("quarantine not kept", { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
+        log::warn("quarantine not saved", { { "step", "platform" }, { "reason", lost.getDescription().cStr() } });
     }));
 }
 
--- a/packages/router/controllers/QuarantineController.h
+++ b/packages/router/controllers/QuarantineController.h
@@ -10,20 +10,25 @@
 
 namespace eelgrass::router {
 
-/// Keeps count of requests that crash engines, and shares it: suspects with the states that target processes push,
-/// culprits by rows `quarantine/<digest>` that every entry reads.
+/// Counts the engine crashes of each request and shares the counts. Target processes include their suspects in the
+/// state that they push to entries; quarantined requests are stored in rows `quarantine/<digest>`, which every entry
+/// reads.
 class QuarantineController {
 public:
     QuarantineController(wire::MainLoop& loop, platform::PlatformClient& platform);
 
-    /// Follows the platform's rows from here on.
+    /// Starts polling the platform's rows.
     auto start() -> void;
-    /// An engine died while it ran this request, started at a count of `before`. True when it is refused from here on.
+    /// Records that an engine died while it ran this request, whose crash count was `before` when it started. True if
+    /// the request is refused from now on.
     auto recordCrash(const std::string& digest, std::uint32_t before) -> bool;
     auto recordSuccess(const std::string& digest) -> void { quarantine_.succeeded(digest); }
-    /// A suspect that is sent many times at once runs one at a time from this entry. False: not yet.
+    /// Starts a run of a suspect request; false if this entry already runs one. Simultaneous sends of a suspect thus
+    /// run one at a time.
     [[nodiscard]] auto tryStart(const std::string& digest) -> bool { return running_.insert(digest).second; }
+    /// Ends the run that `tryStart` began.
     auto finish(const std::string& digest) -> void { running_.erase(digest); }
+    /// Takes over the crash counts that a target process reports.
     auto update(wire::schema::TargetState::Reader state) -> void;
 
     [[nodiscard]] auto crashes(const std::string& digest) const -> std::uint32_t { return quarantine_.crashes(digest); }
@@ -31,7 +36,7 @@
 
 private:
     auto poll() -> kj::Promise<void>;
-    auto keep(const std::string& digest) -> void;
+    auto persist(const std::string& digest) -> void;
 
     wire::MainLoop& loop_;
     platform::PlatformClient& platform_;
--- a/packages/router/controllers/TargetsController.cpp
+++ b/packages/router/controllers/TargetsController.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-// An entry serves some 1,800 requests a minute at the size to come. Sessions beyond those it used in the last minute
-// would grow towards one to each target of the fleet, each with heartbeats and reports to be paid for on both sides.
-constexpr auto idleLimit = Duration(60s);
-constexpr auto closingPeriod = Duration(5s);
+// Sessions unused for this long are closed. At the planned fleet size an entry serves about 1,800 requests a minute; if
+// it kept every session, it would end up with one to each target of the fleet, and each session costs heartbeats and
+// state reports on both sides.
+constexpr auto idleLinkLimit = Duration(60s);
+constexpr auto closeCheckPeriod = Duration(5s);
 constexpr auto pollPeriod = Duration(1s);
-constexpr auto unreachableFor = Duration(1s);
+constexpr auto unreachablePeriod = Duration(1s);
 
 } // namespace
 
@@ -33,16 +34,16 @@
 auto TargetsController::start() -> void
 {
     poller_.start();
-    closing_ = loop_.timers().every(closingPeriod, [this] { closeIdle(); });
+    closeTimer_ = loop_.timers().every(closeCheckPeriod, [this] { closeIdleLinks(); });
 }
 
-auto TargetsController::closeIdle() -> void
+auto TargetsController::closeIdleLinks() -> void
 {
     const auto unused
-        = [](const TargetLink& link) { return !link.hasWaiters() && now() - link.lastUsed() > idleLimit; };
+        = [](const TargetLink& link) { return !link.hasWaiters() && now() - link.lastUsed() > idleLinkLimit; };
     for (const auto& [target, link] : links_) {
-        // Without a session nothing corrects the last report: a queue that was long when the session ended would keep
-        // requests off the target for ever.
+        // Without a session nothing updates the last report: a queue that was long when the session ended would keep
+        // requests off the target forever.
         if (unused(*link) || !link->isOpen())
             fleet_.forgetLoad(target);
     }
@@ -53,12 +54,12 @@
 {
     return platform_.hosts().then([this](std::optional<std::vector<platform::HostRecord>> hosts) {
         if (hosts)
-            take(*hosts);
+            applyHostList(*hosts);
         ready_ = true;
     });
 }
 
-auto TargetsController::take(const std::vector<platform::HostRecord>& hosts) -> void
+auto TargetsController::applyHostList(const std::vector<platform::HostRecord>& hosts) -> void
 {
     auto listed = std::map<TargetId, platform::HostRecord>();
     for (const auto& host : hosts) {
@@ -68,7 +69,8 @@
         const auto stayed
             = before != hosts_.end() && before->second.address == host.address && before->second.port == host.port;
         if (stayed) {
-            // A target that said itself that it leaves stays so until it comes back elsewhere: the list is older.
+            // A target that reported itself as leaving stays so until it is listed at another address, because its
+            // report is newer than the list.
             view.leaving = view.leaving || host.leaving;
         } else {
             view = { .id = host.target, .leaving = host.leaving };
@@ -79,7 +81,7 @@
         view.serves = host.serves;
         const auto same = stayed && known && known->zone == view.zone && known->serves == view.serves
             && known->leaving == view.leaving;
-        // The list names the whole fleet and changes by a few hosts: the index of the others is left as it is.
+        // The list contains the whole fleet but usually differs in a few hosts, so only changed hosts are reindexed.
         if (!same)
             fleet_.put(std::move(view));
         listed.emplace(host.target, host);
@@ -94,7 +96,7 @@
 
 auto TargetsController::place(const decisions::PlacementRequest& request) -> std::optional<TargetId>
 {
-    // A drained target is passed over as one that refused: it keeps what it has and gets nothing new.
+    // A drained target is skipped like one that has refused the request: it keeps its work and gets no more.
     auto allowed = request;
     if (drained_)
         allowed.tried.insert(allowed.tried.end(), drained_().begin(), drained_().end());
@@ -107,7 +109,7 @@
 
 auto TargetsController::canPlace(const decisions::PlacementRequest& request) const -> bool
 {
-    // Explained, not chosen: a choice would move the placer's own state on.
+    // Uses `explain`, because choosing a target would change the placer's state.
     const auto seen = explain(request);
     return std::any_of(seen.begin(), seen.end(), [](const auto& target) { return target.usable(); });
 }
@@ -133,7 +135,7 @@
 auto TargetsController::markUnreachable(const TargetId& target) -> void
 {
     fleet_.setReachable(target, false);
-    unreachable_[target] = loop_.timers().after(unreachableFor, [this, target] {
+    unreachable_[target] = loop_.timers().after(unreachablePeriod, [this, target] {
         fleet_.setReachable(target, true);
         unreachable_.erase(target);
     });
@@ -146,7 +148,7 @@
         onState_(state);
     if (!fleet_.find(target))
         return;
-    // For a short while only: nobody would hear of the engine's return on a session that is closed meanwhile.
+    // Only for a short time: if the session is closed meanwhile, the return of the engine is not reported.
     if (!state.getEngineAlive())
         markUnreachable(target);
     epochs_[target] = Epoch(state.getEpoch());
--- a/packages/router/controllers/TargetsController.h
+++ b/packages/router/controllers/TargetsController.h
@@ -14,40 +14,43 @@
 
 namespace eelgrass::router {
 
-/// The targets as this entry knows them: the platform's list, what sessions report, and a link to each that is used.
+/// The targets known to this entry: the platform's host list, the states that targets report, and a link to each target
+/// in use.
 class TargetsController {
 public:
     TargetsController(wire::MainLoop& loop, platform::PlatformClient& platform, std::string secret, std::string name);
 
-    /// Follows the platform's list from here on.
+    /// Starts polling the platform's host list.
     auto start() -> void;
     [[nodiscard]] auto ready() const noexcept -> bool { return ready_; }
     [[nodiscard]] auto views() const noexcept -> const std::vector<decisions::TargetView>& { return fleet_.views(); }
 
-    /// Targets named by `drained` get no new work; asked at each placement.
+    /// Excludes the targets that `drained` returns from new work. Called at each placement.
     auto excludeDrained(std::function<const std::set<TargetId>&()> drained) -> void { drained_ = std::move(drained); }
     /// Chooses a target and counts the request as sent to it.
     [[nodiscard]] auto place(const decisions::PlacementRequest& request) -> std::optional<TargetId>;
-    /// Whether some target can take the request. Counts nothing.
+    /// Whether some target can take the request. Unlike `place`, counts nothing.
     [[nodiscard]] auto canPlace(const decisions::PlacementRequest& request) const -> bool;
-    /// How `place` sees the targets of a request now.
+    /// How `place` would rate each target for the request now.
     [[nodiscard]] auto explain(const decisions::PlacementRequest& request) const -> std::vector<decisions::Explanation>
     {
         return placer_.explain(request, fleet_);
     }
-    /// Null for a target that is no longer listed.
+    /// The link to a target, created on first use; null for a target that is no longer listed.
     [[nodiscard]] auto link(const TargetId& target) -> std::shared_ptr<TargetLink>;
+    /// The epoch that the target last reported; 0 if none.
     [[nodiscard]] auto epoch(const TargetId& target) const -> Epoch;
-    /// Keeps requests off a target that could not be reached, for a short while.
+    /// Places no requests on a target that could not be reached, for a short time.
     auto markUnreachable(const TargetId& target) -> void;
+    /// Records a state that a target reports.
     auto report(wire::schema::TargetState::Reader state) -> void;
-    /// Told of every state that a target reports.
+    /// Called with every state that a target reports.
     auto onState(TargetLink::OnState callback) -> void { onState_ = std::move(callback); }
 
 private:
     auto poll() -> kj::Promise<void>;
-    auto take(const std::vector<platform::HostRecord>& hosts) -> void;
-    auto closeIdle() -> void;
+    auto applyHostList(const std::vector<platform::HostRecord>& hosts) -> void;
+    auto closeIdleLinks() -> void;
 
     wire::MainLoop& loop_;
     platform::PlatformClient& platform_;
@@ -64,7 +67,7 @@
     TargetLink::OnState onState_;
     bool ready_ = false;
     Poller poller_;
-    Timer closing_;
+    Timer closeTimer_;
 };
 
 } // namespace eelgrass::router
