--- a/tests/integration/CountOfSessions.cpp
+++ b/tests/integration/CountOfSessions.cpp
@@ -14,7 +14,7 @@
     std::uint64_t lists = 0;
 };
 
-auto silentHost(int index) -> Json
+auto unusedHost(int index) -> Json
 {
     return { { "target", "silent-" + std::to_string(index) }, { "availability_zone", "zone-2" },
         { "serves", "another-base" }, { "address", "127.0.0.1" }, { "port", 9 }, { "state", "live" } };
@@ -29,17 +29,18 @@
     return count;
 }
 
-auto counters(Deployment& deployment) -> Json
+auto platformCounts(Deployment& deployment) -> Json
 {
     return deployment.control(deployment.platformUrl() + "/standin/counts", Json::object());
 }
 
-/// Sessions and host lists that one entry needs for the same requests, in a fleet with `others` further targets.
-auto countsIn(int others) -> Counts
+/// The numbers of sessions and host list reads that one entry needs for the same requests, in a fleet with `others`
+/// additional targets.
+auto countsInFleet(int others) -> Counts
 {
     auto deployment = Deployment();
     for (auto index = 0; index < others; ++index)
-        deployment.control(deployment.platformUrl() + "/standin/hosts", silentHost(index));
+        deployment.control(deployment.platformUrl() + "/standin/hosts", unusedHost(index));
     for (auto index = 0; index < usedTargets; ++index)
         deployment.addEngineTarget("t" + std::to_string(index));
     deployment.addEntry("e1");
@@ -50,7 +51,7 @@
             deployment.complete("e1", { { "model", "life" }, { "prompt", prompt }, { "max_tokens", 1 } }).status
             == 200);
     }
-    auto counts = Counts { .lists = counters(deployment).at("lists") };
+    auto counts = Counts { .lists = platformCounts(deployment).at("lists") };
     for (auto index = 0; index < usedTargets; ++index)
         counts.sessions += sessionsOpened(deployment, "t" + std::to_string(index));
     return counts;
@@ -58,14 +59,14 @@
 
 } // namespace
 
-// An entry that opened a session to each target of the fleet, or read the list of all of them each second, would spend
-// its budget for control on targets that it never uses: at 400 entries and 2,200 targets, 880,000 sessions.
-// The same requests are sent in a small fleet and in one of two hundred more targets. The sessions are one for each
-// target that answered at the most, and the whole list is read once, however many targets stand in it.
-BOOST_AUTO_TEST_CASE(sessions_and_lists_grow_with_the_targets_used_not_with_the_fleet)
+// An entry must not open a session to each target of the fleet, or read the whole host list every second. It would
+// spend its budget for control traffic on targets that it never uses: with 400 entries and 2,200 targets there would be
+// 880,000 sessions. The same requests are sent in a small fleet and in one with 200 more targets. In both, there is at
+// most one session for each target that can answer, and the whole list is read once.
+BOOST_AUTO_TEST_CASE(sessions_and_list_reads_depend_on_the_targets_used_not_on_the_fleet)
 {
-    const auto small = countsIn(0);
-    const auto large = countsIn(200);
+    const auto small = countsInFleet(0);
+    const auto large = countsInFleet(200);
     BOOST_TEST(small.sessions >= 1U);
     BOOST_TEST(small.sessions <= std::size_t(usedTargets));
     BOOST_TEST(large.sessions <= std::size_t(usedTargets));
--- a/tests/integration/Decisions.cpp
+++ b/tests/integration/Decisions.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-auto loadsOf(Deployment& deployment) -> int
+auto weightStoreLoads(Deployment& deployment) -> int
 {
     return deployment.control(deployment.platformUrl() + "/standin/counts", Json::object()).at("loads").get<int>();
 }
@@ -19,10 +19,10 @@
 
 } // namespace
 
-// An adapter that is loaded nowhere is wanted by many callers of both entries at once. Each entry knows only its own
-// calls and late reports. All callers get their answer after one load at one target: any further load would have kept
-// somebody else's from the store.
-BOOST_AUTO_TEST_CASE(a_burst_for_a_new_adapter_at_two_entries_costs_one_load)
+// Callers of two entries request an adapter that is loaded nowhere, at the same time. Each entry knows only its own
+// requests and delayed state reports. All requests must be answered with one load at one target, because every further
+// load would delay loads of other adapters from the weight store.
+BOOST_AUTO_TEST_CASE(simultaneous_requests_for_an_adapter_at_two_entries_cause_one_load)
 {
     auto deployment = Deployment();
     for (const auto* target : { "t1", "t2", "t3" })
@@ -35,5 +35,5 @@
         answers.push_back(deployment.callLater(entry, "/v1/completions", completion(3)));
     for (auto& answer : answers)
         BOOST_TEST(deployment.loop.wait(kj::mv(answer)).status == 200);
-    BOOST_TEST(loadsOf(deployment) == 1);
+    BOOST_TEST(weightStoreLoads(deployment) == 1);
 }
--- a/tests/integration/EngineDeath.cpp
+++ b/tests/integration/EngineDeath.cpp
@@ -10,8 +10,8 @@
     return { { "model", "life" }, { "prompt", prompt }, { "max_tokens", 1500 } };
 }
 
-/// The target whose engine runs something now.
-auto busyTarget(Deployment& deployment) -> std::string
+/// Waits for an engine to run an attempt, and returns the name of its target.
+auto runningTarget(Deployment& deployment) -> std::string
 {
     auto busy = std::string();
     await(deployment, [&] {
@@ -26,10 +26,10 @@
 
 } // namespace
 
-// The caller waits for a long draft and gets all of it, as one answer.
-// The engine that generates it dies half way. Another engine goes on from the tokens that the caller has already.
-// It is not spliced: the second part is generated from the same prompt and the first part, on the same adapter.
-BOOST_AUTO_TEST_CASE(an_answer_goes_on_elsewhere_when_its_engine_dies)
+// An engine dies in the middle of a long answer, and the caller must still get the whole answer. Another engine
+// continues after the tokens already delivered: it generates the second part from the same prompt and the first part,
+// on the same adapter, so the two parts are not taken from unrelated answers.
+BOOST_AUTO_TEST_CASE(an_answer_continues_on_another_engine_when_its_engine_dies)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -37,7 +37,7 @@
     deployment.addEntry("e1");
     deployment.configure({ "e1" });
     auto answer = deployment.callLater("e1", "/v1/completions", longDraft("draft").dump());
-    const auto busy = busyTarget(deployment);
+    const auto busy = runningTarget(deployment);
     deployment.loop.wait(deployment.loop.sleep(300ms));
     deployment.engine(busy).signal(SIGKILL);
     BOOST_TEST(textOf(deployment.loop.wait(kj::mv(answer))) == expected("life@2#bb", "draft", 1500));
@@ -45,9 +45,9 @@
     BOOST_TEST(startedAt(deployment, other).size() == 1U);
 }
 
-// The caller of a draft that may run only once hears that it broke off, never a silent end.
-// Its engine dies half way: nobody may run it again, so the caller gets an error that says what is known.
-BOOST_AUTO_TEST_CASE(a_draft_that_runs_once_ends_with_an_error_when_its_engine_dies)
+// An engine dies in the middle of a non-repeatable answer. No other engine may run the request, so the stream must end
+// with an error that reports a partial run, not as if the answer were complete.
+BOOST_AUTO_TEST_CASE(a_non_repeatable_draft_ends_with_an_error_when_its_engine_dies)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -57,7 +57,7 @@
     auto body = longDraft("draft");
     body["stream"] = true;
     auto answer = deployment.callLater("e1", "/v1/completions", body.dump(), { { "X-Eelgrass-Repeat", "never" } });
-    const auto busy = busyTarget(deployment);
+    const auto busy = runningTarget(deployment);
     deployment.loop.wait(deployment.loop.sleep(300ms));
     deployment.engine(busy).signal(SIGKILL);
     const auto broken = deployment.loop.wait(kj::mv(answer));
@@ -67,24 +67,23 @@
     BOOST_TEST(startedAt(deployment, busy == "t1" ? "t2" : "t1").empty());
 }
 
-// The caller gets its answer from an engine that restarted unnoticed and lost its adapters.
-// The slot table still believes in the adapter; the engine's new incarnation resets it, and the adapter is loaded
-// again.
-BOOST_AUTO_TEST_CASE(an_engine_that_restarted_unnoticed_gets_its_adapters_again)
+// An engine restarts unnoticed and loses its adapters while the slot table still lists one as loaded. The engine's new
+// incarnation must reset the slot table, so that the adapter is loaded again and the caller gets its answer.
+BOOST_AUTO_TEST_CASE(adapters_are_reloaded_after_an_unnoticed_engine_restart)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
     deployment.addEntry("e1");
     deployment.configure({ "e1" });
-    const auto ask = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 } };
-    BOOST_TEST(textOf(deployment.complete("e1", ask)) == expected("life@2#bb", "p", 3));
+    const auto request = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 } };
+    BOOST_TEST(textOf(deployment.complete("e1", request)) == expected("life@2#bb", "p", 3));
     deployment.control(deployment.behindUrl("t1") + "/standin/control", { { "forget", true } });
-    BOOST_TEST(textOf(deployment.complete("e1", ask)) == expected("life@2#bb", "p", 3));
+    BOOST_TEST(textOf(deployment.complete("e1", request)) == expected("life@2#bb", "p", 3));
 }
 
-// The caller waits for a long draft and gets all of it although the target process beside the engine is replaced.
-// The engine runs on; the new process finds the stream by its attempt and reads on where the caller's answer stands.
-BOOST_AUTO_TEST_CASE(a_restarted_target_process_carries_on_what_its_engine_runs)
+// A target process is replaced while its engine generates a long answer. The engine continues, and the new process must
+// find the stream by its attempt ID and continue where the caller's answer stopped.
+BOOST_AUTO_TEST_CASE(a_restarted_target_process_resumes_running_streams)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
@@ -100,10 +99,10 @@
     BOOST_TEST(startedAt(deployment, "t1").size() == 1U);
 }
 
-// Callers beside a request that crashes engines all get their answers; its own caller gets a final refusal.
-// After the first crash everything that ran is a suspect and runs alone; the innocent finish, the culprit crashes a
-// second engine and is quarantined. Sent again and again, it takes no third engine down.
-BOOST_AUTO_TEST_CASE(a_request_that_crashes_engines_takes_two_at_most)
+// A request crashes the engine that runs it, together with the other requests there. After the first crash each of
+// these requests is a suspect and runs alone. The other requests must complete; the crashing one crashes a second
+// engine, is quarantined, and must not crash a third engine however often it is sent.
+BOOST_AUTO_TEST_CASE(a_request_that_crashes_engines_crashes_at_most_two)
 {
     auto deployment = Deployment();
     for (const auto* name : { "t1", "t2", "t3" })
--- a/tests/integration/Fence.cpp
+++ b/tests/integration/Fence.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-const auto ask = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 } };
-const auto askOther = Json { { "model", "mode" }, { "prompt", "p" }, { "max_tokens", 3 } };
+const auto lifeRequest = Json { { "model", "life" }, { "prompt", "p" }, { "max_tokens", 3 } };
+const auto modeRequest = Json { { "model", "mode" }, { "prompt", "p" }, { "max_tokens", 3 } };
 
-/// Asks as a caller does who is told to come back: again after each 503 that says that nothing ran.
-auto askUntilAnswered(Deployment& deployment, const Json& body) -> std::string
+/// Sends a request, and sends it again after each 503 that reports it as not run.
+auto completeWithRetry(Deployment& deployment, const Json& body) -> std::string
 {
     auto answer = deployment.complete("e1", body);
     while (answer.status == 503) {
@@ -20,58 +20,58 @@
     return textOf(answer);
 }
 
-/// A target process is frozen, another takes its target over, and the first wakes.
-auto takeOver(const std::vector<std::string>& engineFlags, const std::string& settings) -> void
+/// Suspends a target process, lets another process take over its target, and resumes the first one.
+auto testTakeover(const std::vector<std::string>& engineFlags, const std::string& settings) -> void
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1", engineFlags, settings);
     deployment.addEntry("e1");
     deployment.configure({ "e1" });
-    BOOST_TEST(textOf(deployment.complete("e1", ask)) == expected("life@2#bb", "p", 3));
+    BOOST_TEST(textOf(deployment.complete("e1", lifeRequest)) == expected("life@2#bb", "p", 3));
     deployment.target("t1").signal(SIGSTOP);
     deployment.replaceTarget("t1");
-    // Two adapters, and an engine with one slot: an order of the old owner would unload what the new one uses.
-    BOOST_TEST(askUntilAnswered(deployment, askOther) == expected("mode@1#cc", "p", 3));
+    // With two adapters and one slot, an order of the old owner would unload the adapter that the new owner uses.
+    BOOST_TEST(completeWithRetry(deployment, modeRequest) == expected("mode@1#cc", "p", 3));
     auto& old = deployment.target("t1-old");
     old.signal(SIGCONT);
-    BOOST_TEST(askUntilAnswered(deployment, ask) == expected("life@2#bb", "p", 3));
-    // The old owner reads the epoch's row before its next order, and ends.
+    BOOST_TEST(completeWithRetry(deployment, lifeRequest) == expected("life@2#bb", "p", 3));
+    // The old owner verifies its epoch before its next order, and exits.
     await(deployment, [&] { return old.ended(); });
     BOOST_TEST(old.wait() == 3);
-    BOOST_TEST(askUntilAnswered(deployment, askOther) == expected("mode@1#cc", "p", 3));
+    BOOST_TEST(completeWithRetry(deployment, modeRequest) == expected("mode@1#cc", "p", 3));
 }
 
 } // namespace
 
-// Callers get right answers while two processes believe that they own one engine.
-// The first is frozen and replaced; it wakes and must not order anything. This engine refuses old numbers itself.
-BOOST_AUTO_TEST_CASE(a_frozen_owner_wakes_before_an_engine_that_honours_the_fence)
+// Two processes believe that they own the same engine: the first was suspended, replaced and resumed. It must not order
+// anything, and callers must get correct answers. This engine itself refuses orders with an old epoch.
+BOOST_AUTO_TEST_CASE(a_replaced_owner_is_fenced_by_an_engine_that_checks_epochs)
 {
-    takeOver({ "--slots=1", "--fence=true" }, "slots: 1, honours_fence: true");
+    testTakeover({ "--slots=1", "--fence=true" }, "slots: 1, honours_fence: true");
 }
 
-// The same before an engine that ignores the number: the old owner finds by itself that it has been replaced.
-BOOST_AUTO_TEST_CASE(a_frozen_owner_wakes_before_an_engine_that_ignores_the_fence)
+// The same with an engine that ignores epochs: the old owner itself must detect that it was replaced.
+BOOST_AUTO_TEST_CASE(a_replaced_owner_stops_itself_if_the_engine_ignores_epochs)
 {
-    takeOver({ "--slots=1", "--fence=false" }, "slots: 1, honours_fence: false");
+    testTakeover({ "--slots=1", "--fence=false" }, "slots: 1, honours_fence: false");
 }
 
-// The caller gets its answer from elsewhere when its target's process freezes; the frozen one wakes and runs nothing.
-// The start lies in the frozen process's socket. The entry gives the session up and asks another target; the process
-// that wakes asks the session before it starts what lay there, and hears nothing.
-BOOST_AUTO_TEST_CASE(a_start_that_lay_in_a_frozen_process_is_not_run)
+// A target process is suspended with a start request in its socket. The entry closes the session and uses another
+// target. When the process resumes, it pings the entry before it starts the attempt, and must drop it because the
+// session is closed.
+BOOST_AUTO_TEST_CASE(a_start_received_by_a_suspended_process_is_not_run)
 {
     auto deployment = Deployment();
     deployment.addEngineTarget("t1");
     deployment.addEngineTarget("t2");
     deployment.addEntry("e1");
     deployment.configure({ "e1" });
-    BOOST_TEST(textOf(deployment.complete("e1", ask)) == expected("life@2#bb", "p", 3));
+    BOOST_TEST(textOf(deployment.complete("e1", lifeRequest)) == expected("life@2#bb", "p", 3));
     const auto first = startedAt(deployment, "t1").size() == 1 ? std::string("t1") : std::string("t2");
     deployment.target(first).signal(SIGSTOP);
-    BOOST_TEST(textOf(deployment.complete("e1", ask)) == expected("life@2#bb", "p", 3));
+    BOOST_TEST(textOf(deployment.complete("e1", lifeRequest)) == expected("life@2#bb", "p", 3));
     deployment.target(first).signal(SIGCONT);
-    // The entry's next session to it is opened after the old one's messages were read.
+    // The entry's next session to this target opens after the messages of the old session were read.
     await(deployment, [&] { return deployment.status("e1")["targets"].size() == 2; });
     deployment.loop.wait(deployment.loop.sleep(1500ms));
     BOOST_TEST(startedAt(deployment, first).size() == 1U);
--- a/tests/integration/Snapshots.cpp
+++ b/tests/integration/Snapshots.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-auto change(Deployment& deployment, std::uint64_t base) -> void
+auto patchAdapter(Deployment& deployment, std::uint64_t base) -> void
 {
     const auto name = "adapter-" + std::to_string(base % 7);
     const auto adapter = Json { { "base", "base" }, { "in_force", 1 }, { "allow", { "armor-a" } },
@@ -16,7 +16,7 @@
     BOOST_REQUIRE(accepted.status == 200);
 }
 
-auto reads(Deployment& deployment) -> std::uint64_t
+auto platformReads(Deployment& deployment) -> std::uint64_t
 {
     return deployment.control(deployment.platformUrl() + "/standin/counts", Json::object()).at("reads");
 }
@@ -30,21 +30,21 @@
 
 } // namespace
 
-// A zone comes back and its entries start at once, after many patches.
-// If each of them read every patch ever accepted, the platform's two thousand reads a second would hold up all callers.
-// A fresh entry reads the newest snapshot and one or two listings, and serves the same configuration as the others.
-BOOST_AUTO_TEST_CASE(a_fresh_entry_reads_few_rows_however_many_patches_there_are)
+// All entries of a zone start at once after many patches. If each entry read every accepted patch, the platform's
+// capacity of 2,000 reads a second would delay all callers. A starting entry must read only the newest snapshot and one
+// or two listings, and must serve the same configuration as the other entries.
+BOOST_AUTO_TEST_CASE(a_new_entry_reads_few_rows_regardless_of_the_patch_count)
 {
     constexpr auto patches = std::uint64_t(230);
-    // Far more than one start takes, for the polls that go on meanwhile; far fewer than the patches.
+    // Far more than one start needs, because polls continue meanwhile, and far fewer than the number of patches.
     constexpr auto fewReads = std::uint64_t(100);
     auto deployment = Deployment();
     deployment.addEntry("e1");
     for (auto base = std::uint64_t(0); base < patches; ++base)
-        change(deployment, base);
-    const auto before = reads(deployment);
+        patchAdapter(deployment, base);
+    const auto before = platformReads(deployment);
     deployment.addEntry("e2");
     deployment.awaitVersion("e2", patches);
-    BOOST_TEST(reads(deployment) - before < fewReads);
+    BOOST_TEST(platformReads(deployment) - before < fewReads);
     BOOST_TEST(configText(deployment, "e2") == configText(deployment, "e1"));
 }
--- a/tests/unit/Configuration.cpp
+++ b/tests/unit/Configuration.cpp
@@ -20,18 +20,19 @@
         { "classes", { { "draft", { { "deadline_ms", 5 } } } } }, { "note", "kept" } };
 }
 
-/// As an operator sends it: a number read from text is unsigned, one written in C++ is not.
-auto sent(const Json& json) -> Json { return Json::parse(json.dump()); }
+/// The document as parsed from an operator's request: a number read from text is unsigned, one written in C++ is
+/// signed.
+auto asParsed(const Json& json) -> Json { return Json::parse(json.dump()); }
 
 auto parsed(const Json& json) -> Configuration
 {
-    return orElse([&] { return Configuration::parse(ConfigVersion(1), sent(json)); },
+    return orElse([&] { return Configuration::parse(ConfigVersion(1), asParsed(json)); },
         [](const Error& error) -> Configuration { throw std::runtime_error(error.message()); });
 }
 
 auto patched(const Configuration& base, const Json& patch) -> Configuration
 {
-    return orElse([&] { return base.patched(base.version().next(), sent(patch)); },
+    return orElse([&] { return base.patched(base.version().next(), asParsed(patch)); },
         [](const Error& error) -> Configuration { throw std::runtime_error(error.message()); });
 }
 
@@ -47,9 +48,9 @@
 
 } // namespace
 
-// Reading only what a patch names must give what reading the whole patched document gives, or entries that start now
-// and entries that followed every patch would serve different configurations.
-BOOST_AUTO_TEST_CASE(a_patch_gives_what_the_whole_patched_document_gives)
+// Applying patches to the parsed configuration must give the same result as parsing the whole patched document.
+// Otherwise entries that start now and entries that applied every patch would serve different configurations.
+BOOST_AUTO_TEST_CASE(patching_equals_parsing_the_patched_document)
 {
     const auto patches = std::vector<Json> {
         { { "adapters", { { "a", { { "versions", { { "2", { { "digest", "bb" } } } } }, { "in_force", 2 } } } } } },
@@ -70,7 +71,7 @@
     BOOST_TEST(configuration.callerByKeyDigest("e") != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_version_stays_as_it_was)
+BOOST_AUTO_TEST_CASE(patching_leaves_the_earlier_version_unchanged)
 {
     const auto before = parsed(document());
     const auto after
@@ -79,7 +80,7 @@
     BOOST_TEST(nameOf(after, "a", "m") == "a@1#new");
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_read_back_is_the_same_configuration)
+BOOST_AUTO_TEST_CASE(a_snapshot_restores_the_same_configuration)
 {
     const auto before = parsed(document());
     const auto text = before.snapshot();
@@ -91,8 +92,9 @@
     BOOST_TEST(after.requestClass(RequestClass("draft")).deadline.count() == 5);
 }
 
-// The object store gives half of a snapshot, and a fresh entry would refuse callers of the adapters that are missing.
-BOOST_AUTO_TEST_CASE(a_snapshot_cut_short_is_refused)
+// The object store returns a part of a snapshot. An entry that accepted it would refuse callers of the missing
+// adapters.
+BOOST_AUTO_TEST_CASE(a_truncated_snapshot_is_rejected)
 {
     const auto text = parsed(document()).snapshot();
     for (auto size = std::size_t(0); size < text.size(); ++size) {
@@ -106,12 +108,12 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(every_problem_of_a_patch_is_told_at_once)
+BOOST_AUTO_TEST_CASE(all_problems_of_a_patch_are_reported_together)
 {
     const auto message = orElse(
         [&]() -> Result<std::string> {
             const auto patch = Json { { "adapters", { { "a", { { "in_force", 9 } } }, { "x@", adapter("m", "d") } } } };
-            BOOST_LEAF_CHECK(parsed(document()).patched(ConfigVersion(2), sent(patch)));
+            BOOST_LEAF_CHECK(parsed(document()).patched(ConfigVersion(2), asParsed(patch)));
             return std::string();
         },
         [](const Error& error) { return error.message(); });
