--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -292,8 +292,8 @@
 
 auto TargetRole::unsubscribe(std::uint64_t session) -> void
 {
-    // Entries close unused sessions and open new ones, so closed sessions must not accumulate here. Removed in a later
-    // event loop turn, because the connection that holds the listener may be on the stack.
+    // Entries close unused sessions and open new ones, so closed sessions must not accumulate here. The session is
+    // removed in a later event loop turn, because the connection that holds the listener may be on the stack.
     loop_.spawn(kj::evalLater([this, session, alive = std::weak_ptr(alive_)] {
         if (alive.lock())
             subscribers_.remove_if([&](const Subscriber& known) { return known.session == session; });
--- a/packages/router/target/LoadTurns.h
+++ b/packages/router/target/LoadTurns.h
@@ -14,7 +14,7 @@
 ///
 /// ```cpp
 /// turns.requestTurn(weight, oldestAt);   // onTurn is called when the turn comes
-/// turns.releaseTurn();                  // after the load
+/// turns.releaseTurn();                   // after the load
 /// ```
 class LoadTurns {
 public:
