--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -63,13 +63,13 @@
     {
         auto params = context.getParams();
         markAwaited(AttemptId(params.getAttempt()));
-        auto order = AttemptsController::ResumeOrder {
+        auto request = AttemptsController::ResumeRequest {
             .attempt = AttemptId(params.getAttempt()),
             .model = ModelName(params.getModel()),
             .chunk = ChunkNumber(params.getNextChunk()),
             .token = params.getNextToken(),
         };
-        return role_.attempts_->resume(std::move(order), params.getSink()).then([context](bool known) mutable {
+        return role_.attempts_->resume(std::move(request), params.getSink()).then([context](bool known) mutable {
             context.getResults().setKnown(known);
         });
     }
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -104,31 +104,31 @@
     });
 }
 
-auto AttemptsController::resume(ResumeOrder order, wire::schema::ChunkSink::Client sink) -> kj::Promise<bool>
+auto AttemptsController::resume(ResumeRequest request, wire::schema::ChunkSink::Client sink) -> kj::Promise<bool>
 {
-    const auto found = attempts_.find(order.attempt);
+    const auto found = attempts_.find(request.attempt);
     if (found != attempts_.end()) {
         const auto& attempt = found->second;
         if (attempt->adopted && attempt->task == nullptr && attempt->state == Attempt::State::Running)
-            streamAdopted(attempt, order, kj::mv(sink));
-        else if (attempt->output.has(order.chunk))
-            attempt->output.attach(kj::mv(sink), order.chunk);
+            streamAdopted(attempt, request, kj::mv(sink));
+        else if (attempt->output.has(request.chunk))
+            attempt->output.attach(kj::mv(sink), request.chunk);
         else
             return false;
         return true;
     }
-    if (revoked_.contains(order.attempt) || order.model.empty())
+    if (revoked_.contains(request.attempt) || request.model.empty())
         return false;
-    auto known = std::visit([&](auto& runner) { return runner.knows(order.attempt, order.model); }, runner_);
+    auto known = std::visit([&](auto& runner) { return runner.knows(request.attempt, request.model); }, runner_);
     return known.then(
-        [this, order = std::move(order), sink = kj::mv(sink)](bool there) mutable -> kj::Promise<bool> {
+        [this, request = std::move(request), sink = kj::mv(sink)](bool there) mutable -> kj::Promise<bool> {
             // The attempt's start request may have arrived while the engine was being queried.
-            if (!attempts_.contains(order.attempt)) {
+            if (!attempts_.contains(request.attempt)) {
                 if (!there)
                     return false;
-                adopt(order.attempt, order.model);
+                adopt(request.attempt, request.model);
             }
-            return resume(std::move(order), kj::mv(sink));
+            return resume(std::move(request), kj::mv(sink));
         },
         [](kj::Exception&&) { return false; });
 }
@@ -148,10 +148,10 @@
 }
 
 auto AttemptsController::streamAdopted(
-    const AttemptPtr& attempt, const ResumeOrder& order, wire::schema::ChunkSink::Client sink) -> void
+    const AttemptPtr& attempt, const ResumeRequest& request, wire::schema::ChunkSink::Client sink) -> void
 {
-    attempt->output.beginAt(order.chunk, order.token);
-    attempt->output.attach(kj::mv(sink), order.chunk);
+    attempt->output.beginAt(request.chunk, request.token);
+    attempt->output.attach(kj::mv(sink), request.chunk);
     runTask(attempt, std::visit([&](auto& runner) { return runner.adopt(attempt); }, runner_));
 }
 
--- a/packages/router/controllers/AttemptsController.h
+++ b/packages/router/controllers/AttemptsController.h
@@ -40,7 +40,7 @@
 
     /// Accepts or refuses an attempt. Empty if accepted; otherwise the reason why it did not run and never will.
     [[nodiscard]] auto start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>;
-    struct ResumeOrder {
+    struct ResumeRequest {
         AttemptId attempt;
         ModelName model;
         ChunkNumber chunk;
@@ -48,7 +48,7 @@
     };
     /// Sends the rest of an attempt's output to `sink`. Resolves to `false` if the attempt is unknown both here and at
     /// the engine, which may still run it for an earlier process of this target.
-    [[nodiscard]] auto resume(ResumeOrder order, wire::schema::ChunkSink::Client sink) -> kj::Promise<bool>;
+    [[nodiscard]] auto resume(ResumeRequest request, wire::schema::ChunkSink::Client sink) -> kj::Promise<bool>;
     /// Takes over a stream that the engine runs for an earlier process of this target. Its adapter is pinned, and an
     /// entry can resume the stream by its attempt ID.
     auto adopt(const AttemptId& id, const ModelName& model) -> void;
@@ -86,7 +86,7 @@
     auto recordLoadStalls() -> void;
     auto run(const AttemptPtr& attempt) -> void;
     auto runTask(const AttemptPtr& attempt, kj::Promise<void> task) -> void;
-    auto streamAdopted(const AttemptPtr& attempt, const ResumeOrder& order, wire::schema::ChunkSink::Client sink)
+    auto streamAdopted(const AttemptPtr& attempt, const ResumeRequest& request, wire::schema::ChunkSink::Client sink)
         -> void;
     auto rememberStarted(const AttemptId& id) -> void;
     auto cancelAbandoned() -> void;
--- a/packages/router/controllers/LoadQueueController.cpp
+++ b/packages/router/controllers/LoadQueueController.cpp
@@ -2,14 +2,14 @@
 
 namespace eelgrass::router {
 
-auto LoadQueueController::requestTurn(const decisions::LoadRequest& ask) -> kj::Promise<bool>
+auto LoadQueueController::requestTurn(const decisions::LoadRequest& request) -> kj::Promise<bool>
 {
     auto pair = kj::newPromiseAndFulfiller<bool>();
-    auto& waiting = waiting_[ask.target];
+    auto& waiting = waiting_[request.target];
     if (waiting)
         waiting->fulfill(false);
     waiting = kj::mv(pair.fulfiller);
-    queue_.enqueue(ask);
+    queue_.enqueue(request);
     grantTurns();
     return kj::mv(pair.promise);
 }
--- a/packages/router/controllers/LoadQueueController.h
+++ b/packages/router/controllers/LoadQueueController.h
@@ -18,7 +18,7 @@
 
     /// Resolves to `true` when the target's turn has come, and to `false` when a later request of the target replaces
     /// this one or the target releases its turn.
-    [[nodiscard]] auto requestTurn(const decisions::LoadRequest& ask) -> kj::Promise<bool>;
+    [[nodiscard]] auto requestTurn(const decisions::LoadRequest& request) -> kj::Promise<bool>;
     /// Ends the target's turn or its wait for one.
     auto releaseTurn(const TargetId& target) -> void;
 
--- a/packages/router/target/LoadTurns.cpp
+++ b/packages/router/target/LoadTurns.cpp
@@ -21,7 +21,7 @@
     : loop_(loop)
     , target_(std::move(target))
     , findHolder_(std::move(findHolder))
-    , pacer_(loadsPerSecond, typicalTargets)
+    , rateLimiter_(loadsPerSecond, typicalTargets)
 {
 }
 
@@ -70,7 +70,7 @@
 
 auto LoadTurns::paceLocally() -> void
 {
-    if (pacer_.take(now()))
+    if (rateLimiter_.take(now()))
         startTurn();
 }
 
--- a/packages/router/target/LoadTurns.h
+++ b/packages/router/target/LoadTurns.h
@@ -43,7 +43,7 @@
     std::string target_;
     FindQueueHolder findHolder_;
     std::function<void()> onTurn_;
-    decisions::LoadRateLimiter pacer_;
+    decisions::LoadRateLimiter rateLimiter_;
     double weight_ = 0;
     Moment oldestAt_ {};
     std::optional<double> requestedWeight_;
