--- a/tests/integration/ConfigurationOrder.cpp
+++ b/tests/integration/ConfigurationOrder.cpp
@@ -127,7 +127,7 @@
 }
 
 // A request must be answered although the weight store fails twice. After three failed loads it is refused as "not
-// run".
+// run" and told when to retry.
 BOOST_AUTO_TEST_CASE(a_failing_weight_store_is_retried_and_then_reported)
 {
     auto deployment = TwoEntries();
