--- a/packages/serving/CallerConnection.cpp
+++ b/packages/serving/CallerConnection.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// After the last answer the client's remaining bytes are read and dropped for this long: a close with unread bytes
-// resets the connection, and the answer would be lost on its way.
+// How long the client's remaining bytes are read and discarded after the last answer. Closing with unread bytes resets
+// the connection, and the client could lose the answer.
 constexpr auto lingerTime = Duration(1s);
-// What a client may send ahead of its turn before it is no longer read.
-constexpr auto readAhead = std::size_t(256) << 10U;
+// Bytes of pipelined requests buffered while a request is served; beyond that, reading pauses.
+constexpr auto maxReadAhead = std::size_t(256) << 10U;
 
 constexpr auto badRequest = 400;
 constexpr auto requestTimeout = 408;
@@ -64,8 +64,8 @@
         connection_.input().clear();
         return;
     }
-    if (serving_) {
-        if (connection_.input().size() > readAhead)
+    if (requestOpen_) {
+        if (connection_.input().size() > maxReadAhead)
             connection_.pauseReading();
         return;
     }
@@ -77,21 +77,21 @@
     const auto fault = reader_.feed(connection_.input());
     if (fault != wire::HttpFault::None)
         return refuse(fault);
-    if (reader_.expectsContinue() && !std::exchange(continued_, true))
+    if (reader_.expectsContinue() && !std::exchange(continueSent_, true))
         connection_.write("HTTP/1.1 100 Continue\r\n\r\n");
-    // A body may take as long as an idle connection may stay, counted from its last byte.
+    // The idle limit applies to the pauses within a body, counted from its last byte.
     if (reader_.headComplete() && !reader_.complete())
         armIdle();
     if (!reader_.complete())
         return;
     timer_.cancel();
-    serving_ = true;
+    requestOpen_ = true;
     reading_ = false;
-    continued_ = false;
+    continueSent_ = false;
     auto request = reader_.take();
     keepAlive_ = request.keepAlive;
-    exchange_ = ++exchanges_;
-    hooks_.onRequest(std::make_shared<CallerExchange>(self, exchange_), std::move(request));
+    currentExchange_ = ++exchangeCount_;
+    hooks_.onRequest(std::make_shared<CallerExchange>(self, currentExchange_), std::move(request));
 }
 
 auto CallerConnection::refuse(wire::HttpFault fault) -> void
@@ -108,9 +108,9 @@
 
 auto CallerConnection::reject(int status) -> void
 {
-    // What follows on this connection cannot be told apart from the refused request.
+    // The end of the refused request is unknown, so the bytes that follow cannot be parsed as another request.
     keepAlive_ = false;
-    serving_ = true;
+    requestOpen_ = true;
     respond({ .status = status }, {});
 }
 
@@ -131,7 +131,7 @@
     head.fields.set("Content-Length", std::to_string(body.size()));
     auto text = wire::responseHeadText(head);
     connection_.write(text.append(body));
-    answered();
+    onAnswered();
 }
 
 auto CallerConnection::begin(wire::HttpResponseHead head) -> void
@@ -160,7 +160,7 @@
         return;
     const auto self = shared_from_this();
     connection_.write("0\r\n\r\n");
-    answered();
+    onAnswered();
 }
 
 auto CallerConnection::abort() -> void
@@ -179,13 +179,13 @@
         hooks_.onMisuse();
 }
 
-auto CallerConnection::answered() -> void
+auto CallerConnection::onAnswered() -> void
 {
     watcher_ = {};
-    exchange_ = 0;
-    serving_ = false;
-    // A stop may have come after the head promised to keep the connection; a request that the client sends on it now
-    // has not been read, and the client knows that by the close.
+    currentExchange_ = 0;
+    requestOpen_ = false;
+    // A stop may have begun after the head announced that the connection stays open. A request that the client sends
+    // now is not read, and the close tells the client so.
     if (!keepAlive_ || closing_)
         return linger();
     armIdle();
@@ -207,7 +207,7 @@
 
 auto CallerConnection::closeIfIdle() -> void
 {
-    if (!serving_ && !reading_ && !lingering_ && connection_.input().empty())
+    if (!requestOpen_ && !reading_ && !lingering_ && connection_.input().empty())
         linger();
 }
 
@@ -216,7 +216,7 @@
     const auto self = shared_from_this();
     const auto onGone = std::move(watcher_.onGone);
     watcher_ = {};
-    exchange_ = 0;
+    currentExchange_ = 0;
     if (onGone)
         onGone();
     close();
@@ -226,7 +226,7 @@
 {
     if (std::exchange(closed_, true))
         return;
-    exchange_ = 0;
+    currentExchange_ = 0;
     timer_.cancel();
     hooks_.onClosed(this);
 }
--- a/packages/serving/CallerConnection.h
+++ b/packages/serving/CallerConnection.h
@@ -14,8 +14,8 @@
 
 class CallerExchange;
 
-/// One connection of a client: requests one after the other, strict framing, bounded in size and time. Each request
-/// comes with the `CallerExchange` that answers it.
+/// HTTP connection of a client. Serves one request after another, with strict framing and limits on size and time. Each
+/// request is passed on with the `CallerExchange` that answers it.
 ///
 /// ```cpp
 /// auto connection = std::make_shared<CallerConnection>(timers, socket, limits,
@@ -25,40 +25,40 @@
 /// ```
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
-    /// What a request's handler is told while it is at work.
+    /// Callbacks for the handler of the current request.
     struct Watcher {
         /// The client closed or reset the connection.
         std::function<void()> onGone;
-        /// What was written has left for the client.
+        /// Everything written has been sent to the client.
         std::function<void()> onDrained;
     };
     struct Hooks {
         std::function<void(std::shared_ptr<CallerExchange>, wire::HttpRequestMessage)> onRequest;
         std::function<void(CallerConnection*)> onClosed;
-        /// Something was written for a request that is over, or out of its turn; it did not reach the client.
+        /// An answer was written for a request that is over, or in the wrong order. It did not reach the client.
         std::function<void()> onMisuse {};
     };
-    /// Counts the requests of a connection; none has 0.
+    /// Number of a request on its connection, starting from 1.
     using ExchangeNumber = std::uint64_t;
 
     CallerConnection(TimerService& timers, wire::ObjectPtr<GSocket> socket, const CallerLimits& limits, Hooks hooks);
-    /// Begins to read; apart from the constructor, since the first request may be answered at once.
+    /// Starts to read. Separate from the constructor, because the first request may be answered at once.
     auto start() -> void;
-    /// Limits of a newer configuration, from the next request on.
+    /// Sets the limits that apply from the next request on.
     auto setLimits(const CallerLimits& limits) -> void;
-    /// The last answer says that the connection closes; an idle one closes at once.
+    /// Closes the connection after its next answer, which announces the close.
     auto closeSoon() -> void;
-    /// Closes a connection that has no request on it.
+    /// Closes the connection if it has no request.
     auto closeIfIdle() -> void;
-    /// Breaks it off, whatever is on it; the client sees a reset.
+    /// Resets the connection, even while a request is served.
     auto abort() -> void;
 
     [[nodiscard]] auto peer() const -> const std::string& { return connection_.peer(); }
 
 private:
     friend class CallerExchange;
-    // For the exchange at hand.
-    [[nodiscard]] auto serves(ExchangeNumber number) const noexcept -> bool { return number == exchange_; }
+    // Used by `CallerExchange`.
+    [[nodiscard]] auto isCurrent(ExchangeNumber number) const noexcept -> bool { return number == currentExchange_; }
     [[nodiscard]] auto backlog() const noexcept -> std::size_t { return connection_.backlog(); }
     [[nodiscard]] auto requestBegan() const noexcept -> Moment { return requestBegan_; }
     auto respond(wire::HttpResponseHead head, std::string_view body) -> void;
@@ -70,7 +70,7 @@
     auto received() -> void;
     auto refuse(wire::HttpFault fault) -> void;
     auto reject(int status) -> void;
-    auto answered() -> void;
+    auto onAnswered() -> void;
     auto linger() -> void;
     auto ended() -> void;
     auto close() -> void;
@@ -83,14 +83,14 @@
     wire::RequestReader reader_;
     Hooks hooks_;
     Watcher watcher_;
-    ExchangeNumber exchanges_ = 0;
-    /// The one that may be written; 0 for none.
-    ExchangeNumber exchange_ = 0;
+    ExchangeNumber exchangeCount_ = 0;
+    /// Number of the exchange that may write; 0 if none.
+    ExchangeNumber currentExchange_ = 0;
     Timer timer_;
     Moment requestBegan_ {};
-    bool serving_ = false;
+    bool requestOpen_ = false;
     bool reading_ = false;
-    bool continued_ = false;
+    bool continueSent_ = false;
     bool keepAlive_ = true;
     bool closing_ = false;
     bool lingering_ = false;
--- a/packages/serving/CallerExchange.cpp
+++ b/packages/serving/CallerExchange.cpp
@@ -12,15 +12,15 @@
 {
 }
 
-auto CallerExchange::may(std::string_view step, bool streaming) -> bool
+auto CallerExchange::allows(std::string_view step, bool streaming) -> bool
 {
-    if (open() && begun_ == streaming)
+    if (open() && streamBegun_ == streaming)
         return true;
     log::warn("exchange misused",
         { { "step", std::string(step) }, { "peer", connection_->peer() }, { "open", open() ? "yes" : "no" } });
     connection_->noteMisuse();
-    // Half an answer with another one behind it would look whole to the client.
-    if (open() && begun_)
+    // A partial answer followed by another one could look like one complete answer to the client.
+    if (open() && streamBegun_)
         connection_->abort();
     return false;
 }
@@ -33,33 +33,33 @@
 
 auto CallerExchange::write(std::string_view bytes) -> void
 {
-    if (may("write", false))
+    if (allows("write", false))
         connection_->connection_.write(bytes);
 }
 
 auto CallerExchange::respond(wire::HttpResponseHead head, std::string_view body) -> void
 {
-    if (may("respond", false))
+    if (allows("respond", false))
         connection_->respond(std::move(head), body);
 }
 
 auto CallerExchange::begin(wire::HttpResponseHead head) -> void
 {
-    if (!may("begin", false))
+    if (!allows("begin", false))
         return;
-    begun_ = true;
+    streamBegun_ = true;
     connection_->begin(std::move(head));
 }
 
 auto CallerExchange::writeChunk(std::string_view bytes) -> void
 {
-    if (may("piece", true))
+    if (allows("piece", true))
         connection_->writeChunk(bytes);
 }
 
 auto CallerExchange::finish() -> void
 {
-    if (may("finish", true))
+    if (allows("finish", true))
         connection_->finish();
 }
 
--- a/packages/serving/ConfigurationFollower.cpp
+++ b/packages/serving/ConfigurationFollower.cpp
@@ -11,13 +11,15 @@
 constexpr auto table = "op";
 constexpr auto configurationKey = "config";
 constexpr auto versionPrefix = std::string_view("version/");
-// A long poll that hears nothing ends after this share of the bound: a connection gone silent for good is found by then
-// and a little more, within the time that a host has to be in touch again. Each call to the store is paid for.
+// Share of the bound after which a long poll without changes ends. A dead connection is detected shortly after that,
+// within the time in which a host must be in contact again. A shorter poll would cost more calls, and each call to the
+// store is billed.
 constexpr auto pollShare = 0.75;
-// Keys want a shorter one: what an entry knows gets older by it, by the interval of the reader of its zone, and by the
-// time for which entries go on without the store. A fifth of the bound for keys leaves three for that time.
-constexpr auto keyShare = 0.2;
-// Of the bound for keys, left for a request on its way to a replica and for a process that was slow to send it.
+// With keys, the poll is a fifth of the bound for keys: the configuration ages by the poll, by the interval at which
+// the reader of the zone is asked, and by the time for which entries continue without the store. Three fifths are left
+// for that time.
+constexpr auto keyPollShare = 0.2;
+// Part of the bound for keys reserved for a request in transit to a replica and for a process that is slow to send it.
 constexpr auto keyMargin = Duration(300ms);
 // Share of the bound between the first reading and the first long poll. Most entries have found their zone's reader by
 // then and need no poll of their own.
@@ -43,46 +45,49 @@
         : std::chrono::duration_cast<Duration>(pollShare * bounds_.inForce);
     if (!bounds_.keys || members_.empty())
         return usual;
-    return std::min(usual, std::chrono::duration_cast<Duration>(keyShare * *bounds_.keys));
+    return std::min(usual, std::chrono::duration_cast<Duration>(keyPollShare * *bounds_.keys));
 }
 
-auto ConfigurationFollower::keysHold() const -> bool { return !bounds_.keys || freshness_.holds(loop_.timers().now()); }
+auto ConfigurationFollower::keysUsable() const -> bool
+{
+    return !bounds_.keys || freshness_.holds(loop_.timers().now());
+}
 
 auto ConfigurationFollower::poll() -> void
 {
     const auto now = loop_.timers().now();
-    if (now < sparedUntil_) {
-        retry_ = loop_.timers().after(sparedUntil_ - now, [this] { poll(); });
+    if (now < skipPollsUntil_) {
+        pollTimer_ = loop_.timers().after(skipPollsUntil_ - now, [this] { poll(); });
         return;
     }
-    auto answer = known_ ? store_.follow(table, *known_, pollWait()) : store_.read(table);
-    work_ = answer.then([this](hosting::StoreAnswer&& received) { take(std::move(received)); })
-                .eagerlyEvaluate([](kj::Exception&& error) {
-                    log::error("configuration poll failed", { { "reason", error.getDescription().cStr() } });
-                });
+    auto answer = knownVersion_ ? store_.follow(table, *knownVersion_, pollWait()) : store_.read(table);
+    pendingPoll_ = answer.then([this](hosting::StoreAnswer&& received) { onStoreAnswer(std::move(received)); })
+                       .eagerlyEvaluate([](kj::Exception&& error) {
+                           log::error("configuration poll failed", { { "reason", error.getDescription().cStr() } });
+                       });
 }
 
-auto ConfigurationFollower::take(hosting::StoreAnswer answer) -> void
+auto ConfigurationFollower::onStoreAnswer(hosting::StoreAnswer answer) -> void
 {
     auto wait = Duration(0);
     if (answer.outcome == hosting::StoreOutcome::Done) {
-        if (!std::exchange(reachable_, true))
+        if (!std::exchange(storeReachable_, true))
             log::info("store regained", { { "step", "configure" } });
-        if (!heardAt_ && !answer.rows.empty())
+        if (!lastAnswerAt_ && !answer.rows.empty())
             wait = std::chrono::duration_cast<Duration>(firstPollShare * bounds_.inForce);
-        heardAt_ = loop_.timers().now();
-        known_ = std::max(answer.version, known_.value_or(0));
-        takeRows(answer);
+        lastAnswerAt_ = loop_.timers().now();
+        knownVersion_ = std::max(answer.version, knownVersion_.value_or(0));
+        applyRows(answer);
     } else if (answer.outcome == hosting::StoreOutcome::HistoryGone) {
-        log::warn("store forgot its history", { { "known", std::to_string(known_.value_or(0)) } });
-        known_.reset();
+        log::warn("store forgot its history", { { "known", std::to_string(knownVersion_.value_or(0)) } });
+        knownVersion_.reset();
     } else {
-        if (std::exchange(reachable_, false))
+        if (std::exchange(storeReachable_, false))
             log::warn("store lost", { { "step", "configure" }, { "reason", answer.reason } });
         // With a bound for keys, the configuration expires too soon for a follower's longer delay.
         wait = decisions::SharedReading::retryInterval(bounds_.keys ? decisions::SharedReading::Role::Alone : role_);
     }
-    retry_ = loop_.timers().after(wait, [this] { poll(); });
+    pollTimer_ = loop_.timers().after(wait, [this] { poll(); });
 }
 
 auto ConfigurationFollower::setReadingRole(decisions::SharedReading::Role role) -> void
@@ -103,58 +108,58 @@
     // More than one interval, as the data is slightly older than that when the answer to a regular long poll arrives.
     constexpr auto staleIntervals = 1.25;
     const auto interval = decisions::SharedReading(bounds_.inForce).sharedInterval();
-    if (!known_ || age() <= std::chrono::duration_cast<Duration>(staleIntervals * interval))
+    if (!knownVersion_ || age() <= std::chrono::duration_cast<Duration>(staleIntervals * interval))
         return;
     // A failing store is retried by the poll alone.
-    if (refreshing_ || !reachable_)
+    if (refreshing_ || !storeReachable_)
         return;
     refreshing_ = true;
     refreshRead_ = store_.read(table)
                        .then([this](hosting::StoreAnswer&& answer) {
                            refreshing_ = false;
                            if (answer.outcome == hosting::StoreOutcome::Done)
-                               takeRows(answer);
+                               applyRows(answer);
                        })
                        .eagerlyEvaluate([](kj::Exception&& error) {
                            log::error("configuration read failed", { { "reason", error.getDescription().cStr() } });
                        });
 }
 
-auto ConfigurationFollower::takeRows(const hosting::StoreAnswer& answer) -> void
+auto ConfigurationFollower::applyRows(const hosting::StoreAnswer& answer) -> void
 {
     for (const auto& row : answer.rows)
-        takeRow(row);
+        applyRow(row);
     noteConfirmed(answer);
 }
 
-auto ConfigurationFollower::takeRow(const hosting::Row& row) -> void
+auto ConfigurationFollower::applyRow(const hosting::Row& row) -> void
 {
     if (row.deleted)
         return;
     if (row.key == configurationKey)
-        misread_ = !offer(row.value, "store");
+        storeRowUnreadable_ = !applyConfiguration(row.value, "store");
     else if (row.key.starts_with(versionPrefix))
-        offerVersion(row.value, "store");
+        applyAdapterVersion(row.value, "store");
 }
 
 auto ConfigurationFollower::noteConfirmed(const hosting::StoreAnswer& answer) -> void
 {
     if (answer.storeTime)
         storeClock_.note(answer.askedAt, *answer.storeTime);
-    if (misread_)
+    if (storeRowUnreadable_)
         return;
     freshness_.confirmed(answer.storeTime ? storeClock_.earliest(answer.askedAt, *answer.storeTime) : answer.askedAt);
 }
 
-auto ConfigurationFollower::learn(std::string_view text, Moment at, std::string_view source) -> bool
+auto ConfigurationFollower::applyFromPeer(std::string_view text, Moment at, std::string_view source) -> bool
 {
     const auto before = configuration_;
-    if (text.empty() || offer(text, source))
+    if (text.empty() || applyConfiguration(text, source))
         freshness_.confirmed(at);
     return configuration_ != before;
 }
 
-auto ConfigurationFollower::offer(std::string_view text, std::string_view source) -> bool
+auto ConfigurationFollower::applyConfiguration(std::string_view text, std::string_view source) -> bool
 {
     auto read = orElse(
         [&]() -> Result<std::shared_ptr<const ServingConfiguration>> {
@@ -179,7 +184,7 @@
     return true;
 }
 
-auto ConfigurationFollower::offerVersion(std::string_view text, std::string_view source) -> void
+auto ConfigurationFollower::applyAdapterVersion(std::string_view text, std::string_view source) -> void
 {
     const auto named = orElse(
         [&]() -> Result<std::optional<hosting::NamedVersion>> {
@@ -207,7 +212,7 @@
     return found == versions_.end() ? AdapterVersion(1) : found->second;
 }
 
-auto ConfigurationFollower::versionsText() const -> std::string
+auto ConfigurationFollower::adapterVersionsJson() const -> std::string
 {
     auto list = nlohmann::json::array();
     for (const auto& [key, version] : versions_)
@@ -216,13 +221,13 @@
     return list.dump();
 }
 
-auto ConfigurationFollower::offerVersions(std::string_view text, std::string_view source) -> void
+auto ConfigurationFollower::applyAdapterVersions(std::string_view text, std::string_view source) -> void
 {
     const auto list = nlohmann::json::parse(text, nullptr, false);
     if (!list.is_array())
         return log::error("versions not understood", { { "source", std::string(source) } });
     for (const auto& item : list)
-        offerVersion(item.dump(), source);
+        applyAdapterVersion(item.dump(), source);
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/ConfigurationFollower.h
+++ b/packages/serving/ConfigurationFollower.h
@@ -18,58 +18,60 @@
 
 namespace eelgrass::serving {
 
-/// What the operator has put in force: the configuration and the versions of adapters. Both only rise, whoever tells.
+/// Keeps the operator's configuration and the adapter versions up to date. A version lower than the current one is
+/// ignored, whatever its source.
 ///
-/// The store is followed by a long poll; where it is closed to this host, other entries are the source.
+/// Both are read from the store by long polls. While the store refuses this host, they come from other entries.
 class ConfigurationFollower {
 public:
     using OnChange = std::function<void()>;
     struct Bounds {
-        /// Within this a configuration must be in force.
+        /// Time within which a new configuration must be in force.
         Duration inForce = 2s;
-        /// Within this a key that was taken away must be out of use, also at entries that cannot hear of it; empty
-        /// where such entries may go on.
+        /// Time within which a removed key must be out of use, also at entries that cannot learn of the removal. If
+        /// empty, such entries may go on accepting keys.
         std::optional<Duration> keys;
     };
 
     ConfigurationFollower(wire::MainLoop& loop, hosting::Store& store, const Bounds& bounds, OnChange onChange);
 
     auto start() -> void { poll(); }
-    /// Null until there is one.
+    /// The configuration in force; null until one is known.
     [[nodiscard]] auto configuration() const noexcept -> const std::shared_ptr<const ServingConfiguration>&
     {
         return configuration_;
     }
     [[nodiscard]] auto routes() const noexcept -> const RouteTable& { return routes_; }
     [[nodiscard]] auto members() const noexcept -> const MemberTable& { return members_; }
-    /// Whether a request with a key may be sent now, for all that is known of what was taken away.
-    [[nodiscard]] auto keysHold() const -> bool;
-    /// How long ago the configuration was surely the newest.
+    /// Whether the configuration is recent enough to accept keys.
+    [[nodiscard]] auto keysUsable() const -> bool;
+    /// Time since the configuration was last confirmed to be the newest.
     [[nodiscard]] auto age() const -> Duration { return freshness_.age(loop_.timers().now()); }
-    /// The version that requests for an adapter must run; the first one unless a newer one was named.
+    /// The version that requests for an adapter must run; version 1 unless the operator has set a newer one.
     [[nodiscard]] auto versionOf(const BaseModel& model, const AdapterName& adapter) const -> AdapterVersion;
 
-    /// Another entry's configuration, of which that entry knew `at`, at the earliest, that it was the newest. The text
-    /// is empty where it is not newer than this entry's. Returns whether a new configuration came into force.
-    auto learn(std::string_view text, Moment at, std::string_view source) -> bool;
-    /// Takes a configuration from `source`, if it is newer; false where it cannot be understood.
-    auto offer(std::string_view text, std::string_view source) -> bool;
-    auto offerVersion(std::string_view text, std::string_view source) -> void;
-    /// The named versions as peers are told them.
-    [[nodiscard]] auto versionsText() const -> std::string;
-    auto offerVersions(std::string_view text, std::string_view source) -> void;
-    /// Another entry tells what the store has: it is not asked before `until`, once the present question is answered.
-    auto spare(Moment until) -> void { sparedUntil_ = until; }
+    /// Applies another entry's configuration, which was the newest at `at` or later. `text` is empty if it is not newer
+    /// than this entry's. Returns whether a new configuration came into force.
+    auto applyFromPeer(std::string_view text, Moment at, std::string_view source) -> bool;
+    /// Applies a configuration if it is newer. Returns false if it cannot be parsed.
+    auto applyConfiguration(std::string_view text, std::string_view source) -> bool;
+    auto applyAdapterVersion(std::string_view text, std::string_view source) -> void;
+    /// The adapter versions set by the operator, in the JSON format that peers exchange.
+    [[nodiscard]] auto adapterVersionsJson() const -> std::string;
+    auto applyAdapterVersions(std::string_view text, std::string_view source) -> void;
+    /// Suspends polling the store until `until`, after the pending poll has ended, because another entry supplies the
+    /// data.
+    auto skipPollsUntil(Moment until) -> void { skipPollsUntil_ = until; }
     /// Sets how this entry takes part in reading the store for its zone.
     auto setReadingRole(decisions::SharedReading::Role role) -> void;
-    /// When the store last answered; empty before it did.
-    [[nodiscard]] auto heardAt() const noexcept -> std::optional<Moment> { return heardAt_; }
+    /// When the store last answered; empty before the first answer.
+    [[nodiscard]] auto lastAnswerAt() const noexcept -> std::optional<Moment> { return lastAnswerAt_; }
 
 private:
     auto poll() -> void;
-    auto take(hosting::StoreAnswer answer) -> void;
-    auto takeRows(const hosting::StoreAnswer& answer) -> void;
-    auto takeRow(const hosting::Row& row) -> void;
+    auto onStoreAnswer(hosting::StoreAnswer answer) -> void;
+    auto applyRows(const hosting::StoreAnswer& answer) -> void;
+    auto applyRow(const hosting::Row& row) -> void;
     auto noteConfirmed(const hosting::StoreAnswer& answer) -> void;
     /// Reads the table without waiting for the pending long poll if the configuration was confirmed too long ago to
     /// spare other entries their own polls.
@@ -85,19 +87,19 @@
     MemberTable members_;
     decisions::ConfigurationFreshness freshness_;
     decisions::RemoteClock storeClock_;
-    /// The store's configuration could not be understood: what is in force is not the newest.
-    bool misread_ = false;
+    /// The configuration in the store could not be parsed, so the one in force is not the newest.
+    bool storeRowUnreadable_ = false;
     std::map<std::pair<BaseModel, AdapterName>, AdapterVersion> versions_;
-    /// The store's version up to which everything is known; empty until the table was read.
-    std::optional<std::uint64_t> known_;
-    std::optional<Moment> heardAt_;
-    bool reachable_ = false;
-    Moment sparedUntil_ {};
+    /// Version of the store up to which all changes are known; empty until the table has been read.
+    std::optional<std::uint64_t> knownVersion_;
+    std::optional<Moment> lastAnswerAt_;
+    bool storeReachable_ = false;
+    Moment skipPollsUntil_ {};
     decisions::SharedReading::Role role_ = decisions::SharedReading::Role::Alone;
-    kj::Maybe<kj::Promise<void>> work_;
+    kj::Maybe<kj::Promise<void>> pendingPoll_;
     kj::Maybe<kj::Promise<void>> refreshRead_;
     bool refreshing_ = false;
-    Timer retry_;
+    Timer pollTimer_;
     Timer refreshTimer_;
 };
 
--- a/packages/serving/EventSplitter.cpp
+++ b/packages/serving/EventSplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Where the first event ends, behind its empty line; npos while it has not.
+/// Position after the empty line that ends the first event; npos if the event is incomplete.
 auto endOfEvent(std::string_view text) -> std::size_t
 {
     const auto plain = text.find("\n\n");
--- a/packages/serving/EventSplitter.h
+++ b/packages/serving/EventSplitter.h
@@ -7,21 +7,21 @@
 
 namespace eelgrass::serving {
 
-/// One whole event of a stream, as the replica wrote it.
+/// One complete server-sent event, as the replica wrote it.
 struct StreamEvent {
-    /// With the empty line that ends it.
+    /// Includes the empty line that ends the event.
     std::string text;
     std::optional<std::uint64_t> id;
 };
 
-/// Cuts a stream's bytes into whole events, so that a stream that breaks in the middle of one can go on at another
-/// replica without half an event before it.
+/// Splits a stream of server-sent events into complete events. A stream that breaks within an event can then be resumed
+/// at another replica without sending the client a partial event.
 class EventSplitter {
 public:
-    /// Takes more bytes; the events that they complete.
+    /// Adds bytes and returns the events that they complete.
     [[nodiscard]] auto feed(std::string_view bytes) -> std::vector<StreamEvent>;
-    /// Bytes of an event that has not ended yet.
-    [[nodiscard]] auto rest() const noexcept -> const std::string& { return pending_; }
+    /// Bytes of the last event, which is incomplete.
+    [[nodiscard]] auto incomplete() const noexcept -> const std::string& { return pending_; }
     auto clear() -> void { pending_.clear(); }
 
 private:
--- a/packages/serving/GatewayContext.h
+++ b/packages/serving/GatewayContext.h
@@ -13,7 +13,7 @@
 
 namespace eelgrass::serving {
 
-/// What the requests of one entry share.
+/// Services and state shared by all requests of one entry.
 struct GatewayContext {
     wire::MainLoop& loop;
     const GatewaySettings& settings;
@@ -24,7 +24,7 @@
     SuspectRequests& suspects;
     MemberQuotas& quotas;
     std::map<ServiceName, decisions::SharedRetryBudget> budgets {};
-    /// Entries that share the retry budget, as far as is known.
+    /// Estimated number of entries that share the retry budget.
     std::size_t entries = 6;
 
     [[nodiscard]] auto now() const -> Moment { return loop.timers().now(); }
--- a/packages/serving/GatewayRole.cpp
+++ b/packages/serving/GatewayRole.cpp
@@ -11,28 +11,30 @@
 namespace {
 
 constexpr auto metricClasses = std::size_t(100);
-// How often an entry looks whether it is behind its peers, or knows nothing yet.
-constexpr auto peerCheck = Duration(250ms);
-// The store tells of a configuration within one long poll; an entry that is behind for longer cannot hear it.
-constexpr auto behindTooLong = Duration(600ms);
-// How long an entry does without the store's list of replicas before it asks a peer, and between two such questions.
-constexpr auto listTooOld = Duration(1s);
-// Between two questions of an entry whose configuration gets too old for keys.
-constexpr auto keysAgain = Duration(400ms);
-// The platform takes an entry out after two probes a second apart; then idle connections may be closed.
+// How often an entry checks whether it has to ask its peers.
+constexpr auto peerCheckInterval = Duration(250ms);
+// A new configuration arrives from the store within one long poll; an entry that is behind for longer cannot reach the
+// store.
+constexpr auto behindLimit = Duration(600ms);
+// How long an entry waits for the store's list of replicas before it asks a peer, and the interval between such
+// requests.
+constexpr auto listAgeLimit = Duration(1s);
+// Interval between requests to peers while the configuration is getting too old to check keys.
+constexpr auto keyRetryInterval = Duration(400ms);
+// The platform stops sending connections after two failed probes a second apart; idle connections may be closed then.
 constexpr auto balancerDelay = Duration(2500ms);
-// From here on a stopping entry takes no connection: what comes later could not be finished in the time for a stop.
+// A stopping entry accepts no connection after this time: requests on it could not be finished before the process ends.
 constexpr auto acceptUntil = Duration(2900ms);
-// Left of the time for a stop when whatever still runs is broken off.
+// Time left of the grace period when requests still running are aborted.
 constexpr auto stopMargin = Duration(500ms);
-constexpr auto stopCheck = Duration(100ms);
+constexpr auto stopCheckInterval = Duration(100ms);
 
-/// After two fifths of the bound for keys an entry that is told nothing asks others.
-constexpr auto keysTooOld(Duration bound) -> Duration { return 2 * bound / 5; }
+/// Age of the configuration at which an entry asks its peers: two fifths of the bound for keys.
+constexpr auto keyAgeLimit(Duration bound) -> Duration { return 2 * bound / 5; }
 
 } // namespace
 
-/// Tells other entries what this one knows.
+/// Serves this entry's configuration and list of replicas to other entries.
 class GatewayRole::Peer final : public wire::schema::EntryPeer::Server {
 public:
     explicit Peer(GatewayRole& role)
@@ -51,10 +53,10 @@
         fillChanges(list, role_.directory_.changesSince(context.getParams().getHaveList()));
         const auto age = std::chrono::duration_cast<milliseconds>(role_.directory_.listAge()).count();
         list.setAgeMs(static_cast<std::uint32_t>(std::min<milliseconds::rep>(age, longestAge)));
-        // Rounded up: it must not seem newer than it is.
+        // Rounded up, so that the configuration does not appear newer than it is.
         const auto configAge = std::chrono::ceil<milliseconds>(role_.configuration_.age()).count();
         results.setConfigAgeMs(static_cast<std::uint32_t>(std::min<milliseconds::rep>(configAge, longestAge)));
-        const auto versions = role_.configuration_.versionsText();
+        const auto versions = role_.configuration_.adapterVersionsJson();
         results.setVersions(decisions::nameHash(versions));
         if (context.getParams().getHaveVersions() != results.getVersions())
             results.setAdapterVersions(versions);
@@ -79,16 +81,16 @@
               .drainBound = settings_.drainBound,
               .readerWeight = settings_.processorShare },
           { .onState = [this](const ReplicaSnapshot& state) { onState(state); },
-              .onLeaving = [this](Duration age) { inForce("leaving", age); } })
+              .onLeaving = [this](Duration age) { observeInForce("leaving", age); } })
     , suspects_(directory_)
     , quotas_(loop, directory_, settings_.quotas)
     , gateway_ { loop, settings_, configuration_, directory_, metrics_, deferred_, suspects_, quotas_ }
     , peerSessions_(loop.timers())
     , reader_(loop, decisions::SharedReading(settings_.drainBound).sharedInterval(),
-          { .ask = [this](ReaderLink::Question question) { askReader(question); },
-              .learn = [this](ReaderLink::Answer answer, const Endpoint& reader,
-                           Moment asked) { learnFromReader(answer, reader, asked); } })
-    , sharing_(std::min(settings_.drainBound, settings_.configurationBound))
+          { .fillQuery = [this](ReaderLink::Query query) { fillReaderQuery(query); },
+              .onAnswer = [this](ReaderLink::Answer answer, const Endpoint& reader,
+                              Moment asked) { applyReaderAnswer(answer, reader, asked); } })
+    , readIntervals_(std::min(settings_.drainBound, settings_.configurationBound))
 {
 }
 
@@ -104,13 +106,13 @@
         settings_.peers.address, settings_.peers.port, [this](kj::Own<wire::GlibStream> stream) {
             peerSessions_.add(std::make_unique<wire::Connection>(kj::mv(stream), kj::heap<Peer>(*this)));
         });
-    // Others are told where to ask.
+    // The port may have been chosen by the system; agents and peers are told the actual one.
     settings_.peers.port = peers_->port();
     metricsServer_ = serveMetrics(loop_.timers(), { settings_.host.address, settings_.host.metricsPort }, metrics_);
     configuration_.start();
-    timer_ = loop_.timers().every(peerCheck, [this] {
+    peerCheckTimer_ = loop_.timers().every(peerCheckInterval, [this] {
         countEntries();
-        findReader();
+        chooseReader();
         askPeers();
     });
     log::info("listening",
@@ -141,14 +143,15 @@
     for (const auto& [raw, connection] : connections_)
         connection->setLimits(configuration->limits);
     directory_.configure(configuration, settings_.peers.str());
-    // The list is not needed before the first configuration: nothing is sent to replicas, and no agent names a reader.
+    // The list is not needed before the first configuration: until then no request is sent to a replica, and no agent
+    // names a reader.
     if (!std::exchange(directoryStarted_, true))
         directory_.start();
-    // Whoever has a newer one still says so with its next update.
+    // If another entry has a still newer configuration, the next update of an agent tells so.
     behindSince_.reset();
 }
 
-/// Called for each update of each agent, so it looks at that one agent alone.
+/// Called for every update of every agent, so only that agent's state is examined.
 auto GatewayRole::onState(const ReplicaSnapshot& state) -> void
 {
     const auto& configuration = configuration_.configuration();
@@ -158,7 +161,7 @@
     if (!behindSince_)
         behindSince_ = now;
     const auto holder = parseEndpoint(state.configHolder);
-    if (now - *behindSince_ > behindTooLong && holder && *holder != settings_.peers)
+    if (now - *behindSince_ > behindLimit && holder && *holder != settings_.peers)
         askPeer(*holder, "behind");
 }
 
@@ -169,7 +172,7 @@
         if (replica->agent() && replica->agent()->alive())
             entries = std::max(entries, replica->agent()->state().entries);
     }
-    // One more than are seen: an entry that cannot be seen from here spends its share all the same.
+    // One more than the agents see, as an entry that they cannot see still uses its share of the retry budget.
     if (entries == 0 || entries + 1 == gateway_.entries)
         return;
     gateway_.entries = entries + 1;
@@ -191,19 +194,20 @@
 
 auto GatewayRole::askPeers() -> void
 {
-    const auto knowsAll = configuration_.configuration() && directory_.known();
+    const auto knowsAll = configuration_.configuration() && directory_.loaded();
     const auto now = loop_.timers().now();
-    // An entry to which the store is closed learns of configurations, and of new and leaving replicas, from its peers.
-    const auto listOld = directory_.lostSince() && now - *directory_.lostSince() > listTooOld && !directory_.spared();
-    const auto keysOld = settings_.keyBound && !configuration_.members().empty()
-        && configuration_.age() > keysTooOld(*settings_.keyBound);
-    const auto due = now - askedAt_ > (keysOld ? keysAgain : listTooOld);
-    if (knowsAll && !((listOld || keysOld) && due))
+    // An entry that the store refuses gets configurations, and news of added and leaving replicas, from its peers.
+    const auto listTooOld = directory_.storeLostSince() && now - *directory_.storeLostSince() > listAgeLimit
+        && !directory_.readsSkipped();
+    const auto keysTooOld = settings_.keyBound && !configuration_.members().empty()
+        && configuration_.age() > keyAgeLimit(*settings_.keyBound);
+    const auto due = now - peerAskedAt_ > (keysTooOld ? keyRetryInterval : listAgeLimit);
+    if (knowsAll && !((listTooOld || keysTooOld) && due))
         return;
     const auto peers = peersToAsk();
     if (peers.empty())
         return;
-    askedAt_ = now;
+    peerAskedAt_ = now;
     const auto& peer = peers[nextPeer_++ % peers.size()];
     if (peer != settings_.peers)
         askPeer(peer, knowsAll ? "store closed" : "nothing known");
@@ -211,7 +215,7 @@
 
 auto GatewayRole::askPeer(const Endpoint& peer, std::string_view why) -> void
 {
-    if (std::exchange(asking_, true))
+    if (std::exchange(askingPeer_, true))
         return;
     log::info("peer asked", { { "peer", peer.str() }, { "reason", std::string(why) } });
     const auto mine = configuration_.configuration() ? configuration_.configuration()->version : ConfigVersion();
@@ -222,8 +226,8 @@
               call.setHaveConfig(mine.value());
               call.setHaveList(directory_.knownVersion());
               return call.send()
-                  .then(
-                      [this, name, asked = loop_.timers().now()](auto&& answer) { learnFromPeer(answer, asked, name); })
+                  .then([this, name, asked = loop_.timers().now()](
+                            auto&& answer) { applyPeerAnswer(answer, asked, name); })
                   .attach(std::move(session));
           });
     constexpr auto peerTimeout = Duration(1s);
@@ -232,17 +236,17 @@
             .catch_([name = peer.str()](kj::Exception&& error) {
                 log::warn("peer not reached", { { "peer", name }, { "reason", error.getDescription().cStr() } });
             })
-            .then([this] { asking_ = false; }));
+            .then([this] { askingPeer_ = false; }));
 }
 
-auto GatewayRole::learnFromPeer(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
+auto GatewayRole::applyPeerAnswer(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
 {
-    learnConfiguration(answer, asked, peer);
-    if (!directory_.known() || directory_.lostSince())
-        learnList(answer, asked, peer);
+    applyConfiguration(answer, asked, peer);
+    if (!directory_.loaded() || directory_.storeLostSince())
+        applyList(answer, asked, peer);
 }
 
-auto GatewayRole::findReader() -> void
+auto GatewayRole::chooseReader() -> void
 {
     auto votes = std::map<std::string, std::size_t>();
     for (const auto& [instance, replica] : directory_.all()) {
@@ -261,65 +265,66 @@
     directory_.setReadingRole(role);
     configuration_.setReadingRole(role);
     if (reader_.reader() != reader)
-        readersVersions_ = 0;
+        readerVersionsHash_ = 0;
     reader_.follow(reader);
 }
 
-auto GatewayRole::askReader(ReaderLink::Question question) -> void
+auto GatewayRole::fillReaderQuery(ReaderLink::Query query) -> void
 {
     const auto& configuration = configuration_.configuration();
-    question.setHaveConfig(configuration ? configuration->version.value() : 0);
-    question.setHaveList(directory_.knownVersion());
-    question.setHaveVersions(readersVersions_);
+    query.setHaveConfig(configuration ? configuration->version.value() : 0);
+    query.setHaveList(directory_.knownVersion());
+    query.setHaveVersions(readerVersionsHash_);
 }
 
-/// Each fact is judged by its own age: a reader whose list is new may not have heard of configurations for long, and
-/// the other way round. What is too old spares nothing, and one's own reading is not held up by it.
-auto GatewayRole::learnFromReader(ReaderLink::Answer answer, const Endpoint& reader, Moment asked) -> void
+/// The list and the configuration are judged by separate ages: a reader with a recent list may have an old
+/// configuration, and the other way round. Data that is too old does not suspend this entry's own reads.
+auto GatewayRole::applyReaderAnswer(ReaderLink::Answer answer, const Endpoint& reader, Moment asked) -> void
 {
     const auto now = loop_.timers().now();
-    learnConfiguration(answer, asked, reader.str());
-    readersVersions_ = answer.getVersions();
-    const auto spared = [&](std::uint32_t ageMs) {
-        return sharing_.coveredUntil(now, Duration(milliseconds(ageMs)) + (now - asked));
+    applyConfiguration(answer, asked, reader.str());
+    readerVersionsHash_ = answer.getVersions();
+    const auto skipUntil = [&](std::uint32_t ageMs) {
+        return readIntervals_.coveredUntil(now, Duration(milliseconds(ageMs)) + (now - asked));
     };
-    if (const auto until = spared(answer.getConfigAgeMs()); until > now && configuration_.configuration())
-        configuration_.spare(until);
-    if (Duration(milliseconds(answer.getList().getAgeMs())) > sharing_.sharedInterval())
+    if (const auto until = skipUntil(answer.getConfigAgeMs()); until > now && configuration_.configuration())
+        configuration_.skipPollsUntil(until);
+    if (Duration(milliseconds(answer.getList().getAgeMs())) > readIntervals_.sharedInterval())
         reader_.askSoon();
-    const auto until = spared(answer.getList().getAgeMs());
+    const auto until = skipUntil(answer.getList().getAgeMs());
     if (until <= now)
         return;
-    learnList(answer, asked, reader.str());
-    directory_.spare(until);
+    applyList(answer, asked, reader.str());
+    directory_.skipReadsUntil(until);
 }
 
-auto GatewayRole::learnList(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
+auto GatewayRole::applyList(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
 {
     const auto list = answer.getList();
     const auto age = Duration(milliseconds(list.getAgeMs())) + (loop_.timers().now() - asked);
-    directory_.learn(readChanges(list), age, peer);
+    directory_.applyPeerChanges(readChanges(list), age, peer);
 }
 
-auto GatewayRole::learnConfiguration(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
+auto GatewayRole::applyConfiguration(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void
 {
     const auto heardAt = asked - Duration(milliseconds(answer.getConfigAgeMs()));
-    if (configuration_.learn(answer.getConfig().cStr(), heardAt, peer))
-        inForce("configuration", loop_.timers().now() - heardAt);
+    if (configuration_.applyFromPeer(answer.getConfig().cStr(), heardAt, peer))
+        observeInForce("configuration", loop_.timers().now() - heardAt);
     if (answer.getAdapterVersions().size() > 0)
-        configuration_.offerVersions(answer.getAdapterVersions().cStr(), peer);
+        configuration_.applyAdapterVersions(answer.getAdapterVersions().cStr(), peer);
 }
 
-auto GatewayRole::inForce(const std::string& what, Duration age) -> void
+auto GatewayRole::observeInForce(const std::string& what, Duration age) -> void
 {
     metrics_.observe("eelgrass_in_force_seconds", { { "what", what } }, age);
 }
 
-/// An entry that may not use any key would refuse all that comes: new connections go to others while some of them can.
+/// An entry that cannot check keys refuses every request that needs one, so it reports not ready and new connections go
+/// to entries that can.
 auto GatewayRole::ready() const -> bool
 {
-    const auto serves = configuration_.members().empty() || configuration_.keysHold();
-    return !stopping_ && configuration_.configuration() && directory_.known() && serves;
+    const auto serves = configuration_.members().empty() || configuration_.keysUsable();
+    return !stopping_ && configuration_.configuration() && directory_.loaded() && serves;
 }
 
 auto GatewayRole::reload(const GatewaySettings& settings) -> void
@@ -340,7 +345,7 @@
     log::info("stopping", { { "connections", std::to_string(connections_.size()) } });
     for (const auto& [raw, connection] : connections_)
         connection->closeSoon();
-    stopTimer_ = loop_.timers().every(stopCheck, [this] { endIfIdle(); });
+    stopTimer_ = loop_.timers().every(stopCheckInterval, [this] { endIfIdle(); });
 }
 
 auto GatewayRole::endIfIdle() -> void
@@ -348,8 +353,8 @@
     const auto age = loop_.timers().now() - stopBegan_;
     if (age < balancerDelay)
         return;
-    // Where too few entries of a zone are ready the platform goes on sending connections. What came on them now would
-    // be broken off at the end; refused, a client tries another entry at once.
+    // If too few entries of a zone are ready, the platform keeps sending connections. Requests on them would now be
+    // aborted when the process ends; a client whose connection is refused tries another entry at once.
     if (age >= acceptUntil)
         clients_.reset();
     const auto held = connections_;
--- a/packages/serving/GatewayRole.h
+++ b/packages/serving/GatewayRole.h
@@ -13,11 +13,11 @@
 
 namespace eelgrass::serving {
 
-/// `--role=gateway`: clients in front, replicas behind.
+/// `--role=gateway`: accepts requests from clients and forwards them to replicas.
 ///
-/// A planned stop: not ready any more, so that the platform sends no new connections; what comes all the same is
-/// served, each answer closes its connection, idle connections are closed once the platform must have noticed, and the
-/// process ends with its last request.
+/// On a planned stop the gateway reports itself not ready, so that the platform sends no new connections. Connections
+/// that arrive anyway are served. Each answer closes its connection, idle connections are closed once the platform must
+/// have noticed the stop, and the process ends with its last request.
 class GatewayRole {
 public:
     GatewayRole(wire::MainLoop& loop, GatewaySettings settings);
@@ -25,7 +25,7 @@
 
     auto start() -> void;
     auto stop() -> void;
-    /// The settings file may have changed.
+    /// Applies those settings that may change while the process runs, after the settings file has been read again.
     auto reload(const GatewaySettings& settings) -> void;
 
     [[nodiscard]] auto clientPort() const noexcept -> std::uint16_t { return clients_->port(); }
@@ -33,7 +33,7 @@
     [[nodiscard]] auto peerPort() const noexcept -> std::uint16_t { return peers_->port(); }
     [[nodiscard]] auto ready() const -> bool;
     [[nodiscard]] auto directory() const noexcept -> const ReplicaDirectory& { return directory_; }
-    /// The entry that reads the store for this one; empty where it reads for itself.
+    /// The entry that reads the store on behalf of this one; empty if this entry reads for itself.
     [[nodiscard]] auto reader() const noexcept -> const std::optional<Endpoint>& { return reader_.reader(); }
     [[nodiscard]] auto configuration() const noexcept -> const ConfigurationFollower& { return configuration_; }
 
@@ -44,18 +44,19 @@
     auto onState(const ReplicaSnapshot& state) -> void;
     auto countEntries() -> void;
     auto askPeer(const Endpoint& peer, std::string_view why) -> void;
-    /// Where the store does not tell enough, one peer after another.
+    /// Asks one peer, in turn, if the store does not supply a current configuration or list.
     auto askPeers() -> void;
-    auto learnFromPeer(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
-    /// The entry that reads the store for this zone, by what the zone's agents say.
-    auto findReader() -> void;
-    auto askReader(ReaderLink::Question question) -> void;
-    auto learnFromReader(ReaderLink::Answer answer, const Endpoint& reader, Moment asked) -> void;
-    auto learnList(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
-    auto learnConfiguration(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
-    /// Records that what another entry read `age` ago is in force here.
-    auto inForce(const std::string& what, Duration age) -> void;
-    /// Where to ask when the store does not tell: the settings' entries, and those that read for their zones.
+    auto applyPeerAnswer(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
+    /// Chooses the entry that reads the store for this zone, by the votes of the zone's agents, and sets this entry's
+    /// role.
+    auto chooseReader() -> void;
+    auto fillReaderQuery(ReaderLink::Query query) -> void;
+    auto applyReaderAnswer(ReaderLink::Answer answer, const Endpoint& reader, Moment asked) -> void;
+    auto applyList(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
+    auto applyConfiguration(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
+    /// Observes the metric for a change that came into force here, `age` after it was read from the store.
+    auto observeInForce(const std::string& what, Duration age) -> void;
+    /// Peers to ask when the store is unreachable: the seeds from the settings, and the readers of the zones.
     [[nodiscard]] auto peersToAsk() const -> std::vector<Endpoint>;
     auto endIfIdle() -> void;
 
@@ -76,18 +77,18 @@
     std::unique_ptr<wire::Listener> peers_;
     wire::ConnectionSet peerSessions_;
     ReaderLink reader_;
-    decisions::SharedReading sharing_;
-    /// The reader's number for the adapter versions that it last sent.
-    std::uint64_t readersVersions_ = 0;
+    decisions::SharedReading readIntervals_;
+    /// Hash of the adapter versions that the reader last sent.
+    std::uint64_t readerVersionsHash_ = 0;
     std::size_t nextPeer_ = 0;
-    bool asking_ = false;
+    bool askingPeer_ = false;
     bool directoryStarted_ = false;
-    Moment askedAt_ {};
-    /// Since when an entry is known to have a newer configuration.
+    Moment peerAskedAt_ {};
+    /// When another entry was first seen to have a newer configuration; empty while none is known to.
     std::optional<Moment> behindSince_;
     bool stopping_ = false;
     Moment stopBegan_ {};
-    Timer timer_;
+    Timer peerCheckTimer_;
     Timer stopTimer_;
 };
 
--- a/packages/serving/MemberQuotas.cpp
+++ b/packages/serving/MemberQuotas.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Agents that count for one member.
-constexpr auto boardsOfMember = std::size_t(2);
-// An agent answers within a few milliseconds, and on a host that has turned slow within some ten.
-constexpr auto answerLimit = Duration(80ms);
-// A silent agent is passed over for this long: it is frozen or cut off, and every request would wait for it.
-constexpr auto restTime = Duration(2s);
-// Of what a limit may be passed by in a window; the rest is for entries that ask different agents for a moment.
-constexpr auto lenientShare = 0.3;
+// Agents that count one member's usage.
+constexpr auto countersPerMember = std::size_t(2);
+// An agent answers within a few milliseconds, and within some tens of milliseconds on a host that has become slow.
+constexpr auto answerTimeout = Duration(80ms);
+// How long an agent that did not answer is avoided. It is frozen or unreachable, and every request would wait for it.
+constexpr auto avoidTime = Duration(2s);
+// Share of the allowed overage per window that one agent grants; the rest covers entries that briefly ask different
+// agents.
+constexpr auto lenienceShare = 0.3;
 
 } // namespace
 
@@ -42,14 +43,14 @@
         .version = version,
         .rate = { .perSecond = quota.ratePerSecond,
             .burst = quota.burst,
-            .lenience = lenientShare * (bounds_.overage * most + bounds_.slack) } };
+            .lenience = lenienceShare * (bounds_.overage * most + bounds_.slack) } };
 }
 
-auto MemberQuotas::boardsOf(const MemberId& member) const -> Boards
+auto MemberQuotas::countersOf(const MemberId& member) const -> Counters
 {
     struct Candidate {
         AgentLink* link;
-        bool rests;
+        bool avoided;
         std::uint64_t score;
     };
     const auto now = loop_.timers().now();
@@ -59,64 +60,65 @@
         auto* agent = replica->agent();
         if (!agent || !(agent->alive() || agent->mayOpen()))
             continue;
-        const auto resting = resting_.find(agent->endpoint());
-        candidates.push_back({ agent, resting != resting_.end() && now < resting->second,
+        const auto entry = avoidedUntil_.find(agent->endpoint());
+        candidates.push_back({ agent, entry != avoidedUntil_.end() && now < entry->second,
             decisions::rendezvousScore(key, agent->endpointHash()) });
     }
-    const auto count = std::min(boardsOfMember, candidates.size());
+    const auto count = std::min(countersPerMember, candidates.size());
     std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count), candidates.end(),
         [](const Candidate& left, const Candidate& right) {
-            return left.rests == right.rests ? left.score > right.score : right.rests;
+            return left.avoided == right.avoided ? left.score > right.score : right.avoided;
         });
-    auto boards = Boards();
+    auto counters = Counters();
     for (auto index = std::size_t(0); index < count; ++index)
-        boards.push_back(candidates[index].link);
-    return boards;
+        counters.push_back(candidates[index].link);
+    return counters;
 }
 
-auto MemberQuotas::ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaDecision>>
+auto MemberQuotas::askCounter(AgentLink& counter, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaDecision>>
 {
     using Answer = kj::Maybe<QuotaDecision>;
-    return board.takeQuota(charge)
+    return counter.takeQuota(charge)
         .then([](QuotaDecision&& verdict) -> Answer { return verdict; })
-        .exclusiveJoin(loop_.sleep(answerLimit).then([]() -> Answer { return nullptr; }))
+        .exclusiveJoin(loop_.sleep(answerTimeout).then([]() -> Answer { return nullptr; }))
         .catch_([](kj::Exception&&) -> Answer { return nullptr; });
 }
 
 auto MemberQuotas::take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaDecision>
 {
-    return askNext(charge, entries, 0);
+    return askNextCounter(charge, entries, 0);
 }
 
-auto MemberQuotas::askNext(QuotaCharge charge, std::size_t entries, std::size_t asked) -> kj::Promise<QuotaDecision>
+auto MemberQuotas::askNextCounter(QuotaCharge charge, std::size_t entries, std::size_t asked)
+    -> kj::Promise<QuotaDecision>
 {
-    const auto boards = asked < boardsOfMember ? boardsOf(charge.member) : Boards();
-    if (boards.empty())
-        return takeShare(charge, entries);
-    const auto peer = boards.front()->endpoint();
-    auto answer = ask(*boards.front(), charge);
+    const auto counters = asked < countersPerMember ? countersOf(charge.member) : Counters();
+    if (counters.empty())
+        return takeFromShare(charge, entries);
+    const auto peer = counters.front()->endpoint();
+    auto answer = askCounter(*counters.front(), charge);
     return answer.then([this, charge = std::move(charge), entries, asked, peer](
                            kj::Maybe<QuotaDecision>&& answer) mutable -> kj::Promise<QuotaDecision> {
         KJ_IF_MAYBE (verdict, answer) {
             if (verdict->granted) {
-                for (auto* other : boardsOf(charge.member)) {
+                for (auto* other : countersOf(charge.member)) {
                     if (other->endpoint() != peer)
                         other->noteQuota(charge, verdict->level);
                 }
             }
             return *verdict;
         }
-        log::warn("quota not told", { { "peer", peer.str() } });
-        resting_[peer] = loop_.timers().now() + restTime;
-        return askNext(std::move(charge), entries, asked + 1);
+        log::warn("quota agent did not answer", { { "peer", peer.str() } });
+        avoidedUntil_[peer] = loop_.timers().now() + avoidTime;
+        return askNextCounter(std::move(charge), entries, asked + 1);
     });
 }
 
-auto MemberQuotas::takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision
+auto MemberQuotas::takeFromShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision
 {
     const auto now = loop_.timers().now();
     const auto sharing = static_cast<double>(std::max<std::size_t>(entries, 1));
-    auto& bucket = shares_[charge.member];
+    auto& bucket = shareBuckets_[charge.member];
     bucket.setRate(
         { charge.rate.perSecond / sharing, charge.rate.burst / sharing, charge.rate.lenience / sharing }, now);
     const auto verdict = bucket.take(charge.amount, now);
@@ -126,8 +128,8 @@
 auto MemberQuotas::giveBack(QuotaCharge charge) -> void
 {
     charge.amount = -charge.amount;
-    for (auto* board : boardsOf(charge.member))
-        board->noteQuota(charge, 0);
+    for (auto* counter : countersOf(charge.member))
+        counter->noteQuota(charge, 0);
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/MemberQuotas.h
+++ b/packages/serving/MemberQuotas.h
@@ -8,12 +8,12 @@
 
 namespace eelgrass::serving {
 
-/// Counts what members are granted against their quotas, over all entries, without a coordinator.
+/// Enforces member quotas over all entries without a coordinator.
 ///
-/// Two agents count for a member, the same two for every entry that sees the same agents: its first and second choice
-/// by rendezvous hashing. The first decides, the second is told; so when the first is gone, the second goes on from
-/// where it was. An agent that has just begun to count has an empty bucket, never a full one. An entry that reaches
-/// neither grants its equal share of the limit.
+/// Two agents count each member's usage: the first and second choice by rendezvous hashing, so every entry that sees
+/// the same agents picks the same two. The first decides and the second is informed, so that the second continues from
+/// the current level if the first is lost. An agent that starts to count a member begins with an empty bucket, never a
+/// full one. An entry that reaches neither agent grants its equal share of the limit.
 ///
 /// ```cpp
 /// quotas.take(charge, entries).then([](QuotaDecision verdict) { ... });
@@ -23,30 +23,31 @@
     MemberQuotas(wire::MainLoop& loop, const ReplicaDirectory& directory, const QuotaBounds& bounds);
     KJ_DISALLOW_COPY(MemberQuotas);
 
-    /// What a request counts; empty where its member has no limit.
+    /// The charge for a request; empty if the member has no limit.
     [[nodiscard]] auto chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& facts) const
         -> std::optional<QuotaCharge>;
-    /// Never rejects. `entries` is how many share the limit, as far as is known.
+    /// Charges the quota. The promise never rejects. `entries` is the estimated number of entries that share the limit.
     [[nodiscard]] auto take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaDecision>;
-    /// The request was refused: it has not run.
+    /// Returns the charge of a request that was refused and has not run.
     auto giveBack(QuotaCharge charge) -> void;
 
 private:
-    using Boards = std::vector<AgentLink*>;
-    /// The agents that count for that member, the deciding one first; two at the most.
-    [[nodiscard]] auto boardsOf(const MemberId& member) const -> Boards;
-    /// Asks one; an empty answer when it is silent or gone.
-    [[nodiscard]] auto ask(AgentLink& board, const QuotaCharge& charge) -> kj::Promise<kj::Maybe<QuotaDecision>>;
-    [[nodiscard]] auto askNext(QuotaCharge charge, std::size_t entries, std::size_t asked)
+    using Counters = std::vector<AgentLink*>;
+    /// At most two agents that count the member's usage, the deciding one first.
+    [[nodiscard]] auto countersOf(const MemberId& member) const -> Counters;
+    /// Asks one agent. The answer is empty if the agent does not respond in time or the session is lost.
+    [[nodiscard]] auto askCounter(AgentLink& counter, const QuotaCharge& charge)
+        -> kj::Promise<kj::Maybe<QuotaDecision>>;
+    [[nodiscard]] auto askNextCounter(QuotaCharge charge, std::size_t entries, std::size_t asked)
         -> kj::Promise<QuotaDecision>;
-    [[nodiscard]] auto takeShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision;
+    [[nodiscard]] auto takeFromShare(const QuotaCharge& charge, std::size_t entries) -> QuotaDecision;
 
     wire::MainLoop& loop_;
     const ReplicaDirectory& directory_;
     QuotaBounds bounds_;
-    /// Agents that did not answer, and until when they are asked last.
-    std::map<Endpoint, Moment> resting_;
-    std::map<MemberId, decisions::QuotaBucket> shares_;
+    /// Agents that did not answer, with the time until which other agents are preferred.
+    std::map<Endpoint, Moment> avoidedUntil_;
+    std::map<MemberId, decisions::QuotaBucket> shareBuckets_;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/MemberTable.cpp
+++ b/packages/serving/MemberTable.cpp
@@ -3,7 +3,7 @@
 namespace eelgrass::serving {
 
 MemberTable::MemberTable(const ServingConfiguration& configuration)
-    : asked_(!configuration.members.empty())
+    : keysRequired_(!configuration.members.empty())
 {
     for (const auto& member : configuration.members) {
         for (const auto& key : member.keys) {
--- a/packages/serving/MemberTable.h
+++ b/packages/serving/MemberTable.h
@@ -8,21 +8,21 @@
 
 namespace eelgrass::serving {
 
-/// Finds the member that holds a key.
+/// Maps API keys to members.
 class MemberTable {
 public:
     MemberTable() = default;
     /// `configuration` must outlive the table.
     explicit MemberTable(const ServingConfiguration& configuration);
 
-    /// Null for a key that nobody holds, and for none.
+    /// The member that holds `key`; null for an unknown or empty key.
     [[nodiscard]] auto find(std::string_view key) const -> const MemberRecord*;
-    /// Whether callers are asked for a key at all.
-    [[nodiscard]] auto empty() const noexcept -> bool { return !asked_; }
+    /// Whether no member is configured. Callers need no key then.
+    [[nodiscard]] auto empty() const noexcept -> bool { return !keysRequired_; }
 
 private:
     std::unordered_map<std::string, const MemberRecord*> byKey_;
-    bool asked_ = false;
+    bool keysRequired_ = false;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/ReaderLink.cpp
+++ b/packages/serving/ReaderLink.cpp
@@ -21,64 +21,64 @@
 {
     if (reader == reader_)
         return;
-    log::info("reader of the zone", { { "peer", reader ? reader->str() : "" } });
+    log::info("zone reader changed", { { "peer", reader ? reader->str() : "" } });
     reader_ = reader;
     drop();
-    timer_ = {};
+    queryTimer_ = {};
     if (!reader_)
         return;
-    timer_ = loop_.timers().every(interval_, [this] { ask(); });
+    queryTimer_ = loop_.timers().every(interval_, [this] { ask(); });
     ask();
 }
 
 auto ReaderLink::askSoon() -> void
 {
-    constexpr auto share = 4;
-    earlyAskTimer_ = loop_.timers().after(interval_ / share, [this] { ask(); });
+    constexpr auto intervalFraction = 4;
+    earlyAskTimer_ = loop_.timers().after(interval_ / intervalFraction, [this] { ask(); });
 }
 
 auto ReaderLink::drop() -> void
 {
-    broken_ = {};
+    dropTimer_ = {};
     earlyAskTimer_ = {};
-    work_ = nullptr;
+    pendingQuery_ = nullptr;
     session_.reset();
-    asking_ = false;
+    queryPending_ = false;
 }
 
 auto ReaderLink::ask() -> void
 {
     const auto now = loop_.timers().now();
-    if (asking_) {
-        // A connection that has gone silent is found by its question, and the next one is asked on another.
+    if (queryPending_) {
+        // A query without an answer shows that the connection is dead; the next query uses a new one.
         if (now - askedAt_ < 2 * interval_)
             return;
-        log::warn("reader silent", { { "peer", reader_->str() } });
+        log::warn("reader did not answer", { { "peer", reader_->str() } });
         drop();
     }
-    asking_ = true;
+    queryPending_ = true;
     askedAt_ = now;
-    work_ = question().eagerlyEvaluate([this](kj::Exception&& error) {
+    pendingQuery_ = sendQuery().eagerlyEvaluate([this](kj::Exception&& error) {
         log::warn("reader not reached", { { "peer", reader_->str() }, { "reason", error.getDescription().cStr() } });
-        asking_ = false;
-        // From the loop: this runs within the session's own promise.
-        broken_ = loop_.timers().after(Duration(0), [this] { session_.reset(); });
+        queryPending_ = false;
+        // Dropped from the event loop, as this runs within the session's own promise.
+        dropTimer_ = loop_.timers().after(Duration(0), [this] { session_.reset(); });
     });
 }
 
-auto ReaderLink::question() -> kj::Promise<void>
+auto ReaderLink::sendQuery() -> kj::Promise<void>
 {
-    return connected().then([this] {
+    return ensureConnected().then([this] {
         auto call = session_->peer.changesRequest();
-        hooks_.ask(call);
+        hooks_.fillQuery(call);
         return call.send().then([this](auto&& answer) {
-            asking_ = false;
-            hooks_.learn(answer, *reader_, askedAt_);
+            queryPending_ = false;
+            hooks_.onAnswer(answer, *reader_, askedAt_);
         });
     });
 }
 
-auto ReaderLink::connected() -> kj::Promise<void>
+auto ReaderLink::ensureConnected() -> kj::Promise<void>
 {
     if (session_)
         return kj::READY_NOW;
--- a/packages/serving/ReaderLink.h
+++ b/packages/serving/ReaderLink.h
@@ -11,24 +11,24 @@
 
 namespace eelgrass::serving {
 
-/// The session with the entry that reads the store for this one's zone: asks it at an interval for what is new.
+/// Session with the entry that reads the store for this entry's zone. Asks it for changes at an interval.
 ///
-/// A reader that does not answer is simply not heard; what is known gets old, and the entry reads for itself.
+/// If the reader does not answer, the data gets old and this entry reads the store itself.
 class ReaderLink {
 public:
-    using Question = wire::schema::EntryPeer::ChangesParams::Builder;
+    using Query = wire::schema::EntryPeer::ChangesParams::Builder;
     using Answer = wire::schema::EntryPeer::ChangesResults::Reader;
     struct Hooks {
-        /// Fills in what is known already.
-        std::function<void(Question)> ask;
-        /// `asked` is when the question left: what the answer says is that old at least.
-        std::function<void(Answer, const Endpoint& reader, Moment asked)> learn;
+        /// Fills in the versions that this entry already has.
+        std::function<void(Query)> fillQuery;
+        /// `asked` is when the query was sent; the data in the answer may be that old.
+        std::function<void(Answer, const Endpoint& reader, Moment asked)> onAnswer;
     };
 
     ReaderLink(wire::MainLoop& loop, Duration interval, Hooks hooks);
     KJ_DISALLOW_COPY(ReaderLink);
 
-    /// Whom to ask; empty for nobody.
+    /// Sets the reader to ask; empty for none.
     auto follow(const std::optional<Endpoint>& reader) -> void;
     /// Asks again before the interval ends, for a reader whose data is old because it has only just become the reader.
     auto askSoon() -> void;
@@ -38,12 +38,12 @@
     struct Session {
         explicit Session(kj::Own<wire::GlibStream> stream);
         wire::Connection connection;
-        /// Asked for at once: on a connection that its peer has closed meanwhile it could not be.
+        /// Requested when the connection is made; bootstrapping fails on a connection that the peer has since closed.
         wire::schema::EntryPeer::Client peer;
     };
     auto ask() -> void;
-    auto question() -> kj::Promise<void>;
-    auto connected() -> kj::Promise<void>;
+    auto sendQuery() -> kj::Promise<void>;
+    auto ensureConnected() -> kj::Promise<void>;
     auto drop() -> void;
 
     wire::MainLoop& loop_;
@@ -51,13 +51,13 @@
     Hooks hooks_;
     std::optional<Endpoint> reader_;
     std::unique_ptr<Session> session_;
-    kj::Maybe<kj::Promise<void>> work_;
-    bool asking_ = false;
+    kj::Maybe<kj::Promise<void>> pendingQuery_;
+    bool queryPending_ = false;
     Moment askedAt_ {};
-    Timer timer_;
+    Timer queryTimer_;
     Timer earlyAskTimer_;
-    /// Lets go of a session that has failed.
-    Timer broken_;
+    /// Drops a failed session from the event loop.
+    Timer dropTimer_;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/ReplicaDirectory.cpp
+++ b/packages/serving/ReplicaDirectory.cpp
@@ -20,12 +20,12 @@
 constexpr auto holdersPerEntry = std::size_t(1);
 
 // Longer lists are logged in one line.
-constexpr auto mostLoggedRows = std::size_t(20);
+constexpr auto maxLoggedRows = std::size_t(20);
 
 using AdapterVersions = std::map<AdapterName, AdapterVersion>;
 
-/// Whether peers need not be told of the difference: heartbeats change the rest once a second.
-auto alike(const ReplicaRecord& left, const ReplicaRecord& right) -> bool
+/// Whether the records differ only in fields that peers need not be sent; heartbeats change those once a second.
+auto samePublishedState(const ReplicaRecord& left, const ReplicaRecord& right) -> bool
 {
     return left.service == right.service && left.endpoint == right.endpoint && left.zone == right.zone
         && left.phase == right.phase && left.slots == right.slots && left.hasBaseModel == right.hasBaseModel
@@ -48,56 +48,57 @@
     , options_(std::move(options))
     , hooks_(std::move(hooks))
     , entryHash_(decisions::nameHash(options_.entry))
-    , sharing_(options_.drainBound)
+    , readIntervals_(options_.drainBound)
 {
 }
 
 auto ReplicaDirectory::start() -> void { poll(); }
 
-/// Every heartbeat of every replica changes the table, so it is read at an interval and not followed.
+/// Reads the table at an interval instead of by long polls, since every heartbeat of every replica changes it.
 auto ReplicaDirectory::poll() -> void
 {
     const auto now = loop_.timers().now();
-    const auto until
-        = lostSince_ ? std::min(sparedUntil_, askedAt_ + decisions::SharedReading::probeInterval) : sparedUntil_;
+    const auto until = storeLostSince_
+        ? std::min(skipReadsUntil_, lastReadStartedAt_ + decisions::SharedReading::probeInterval)
+        : skipReadsUntil_;
     if (now < until) {
-        timer_ = loop_.timers().after(until - now, [this] { poll(); });
+        readTimer_ = loop_.timers().after(until - now, [this] { poll(); });
         return;
     }
-    askedAt_ = now;
-    work_ = store_.read(table)
-                .then([this](hosting::StoreAnswer&& answer) { take(std::move(answer)); })
-                .eagerlyEvaluate([](kj::Exception&& error) {
-                    log::error("replica list failed", { { "reason", error.getDescription().cStr() } });
-                });
+    lastReadStartedAt_ = now;
+    pendingRead_ = store_.read(table)
+                       .then([this](hosting::StoreAnswer&& answer) { onStoreAnswer(std::move(answer)); })
+                       .eagerlyEvaluate([](kj::Exception&& error) {
+                           log::error("replica list failed", { { "reason", error.getDescription().cStr() } });
+                       });
 }
 
 auto ReplicaDirectory::setReadingRole(decisions::SharedReading::Role role) -> void
 {
     using Role = decisions::SharedReading::Role;
-    // What is known already may be as old as one's own interval, which spares nobody.
-    if (role == Role::Reader && role_ != Role::Reader && timer_.active())
-        timer_ = loop_.timers().after(Duration(0), [this] { poll(); });
+    // The list may be as old as the interval of an entry that reads for itself, too old for the followers to rely on.
+    if (role == Role::Reader && role_ != Role::Reader && readTimer_.active())
+        readTimer_ = loop_.timers().after(Duration(0), [this] { poll(); });
     role_ = role;
 }
 
-auto ReplicaDirectory::take(hosting::StoreAnswer answer) -> void
+auto ReplicaDirectory::onStoreAnswer(hosting::StoreAnswer answer) -> void
 {
     const auto now = loop_.timers().now();
     if (answer.outcome != hosting::StoreOutcome::Done) {
-        if (std::exchange(reachable_, false)) {
+        if (std::exchange(storeReachable_, false)) {
             log::warn("store lost", { { "step", "platform" }, { "reason", answer.reason } });
             notifyAgents();
         }
-        grace_.lost(now);
-        if (!lostSince_)
-            lostSince_ = now;
-        timer_ = loop_.timers().after(decisions::SharedReading::retryInterval(role_), [this] { poll(); });
+        expiryGrace_.lost(now);
+        if (!storeLostSince_)
+            storeLostSince_ = now;
+        readTimer_ = loop_.timers().after(decisions::SharedReading::retryInterval(role_), [this] { poll(); });
         return;
     }
-    lostSince_.reset();
-    if (!std::exchange(reachable_, true)) {
-        grace_.regained(now);
+    storeLostSince_.reset();
+    if (!std::exchange(storeReachable_, true)) {
+        expiryGrace_.regained(now);
         log::info("store regained", { { "step", "platform" } });
         notifyAgents();
     }
@@ -107,24 +108,24 @@
     advanceNewestVersion(answer.newestVersion);
     appliedListAge_ = Duration(0);
     apply(list, "store");
-    readAt_ = now;
+    listReadAt_ = now;
     noteListed(list, now);
     const auto named = instancesOf(list);
     const auto missing = missingFrom(named);
     auto gone = std::vector<ReplicaPtr>();
     std::copy_if(missing.begin(), missing.end(), std::back_inserter(gone),
-        [&](const ReplicaPtr& replica) { return grace_.gone(replica->listedAt(), now); });
+        [&](const ReplicaPtr& replica) { return expiryGrace_.gone(replica->listedAt(), now); });
     removeAll(gone);
     // Unreadable rows that never became a replica are dropped too.
     std::erase_if(
-        texts_, [&](const auto& entry) { return !named.contains(entry.first) && !replicas_.contains(entry.first); });
+        rows_, [&](const auto& entry) { return !named.contains(entry.first) && !replicas_.contains(entry.first); });
     // While a missing replica is retained, peers may still report its removal at or before this version.
     if (gone.size() == missing.size())
         knownVersion_ = std::max(knownVersion_, answer.version);
-    ++readings_;
-    const auto interval
-        = role_ == decisions::SharedReading::Role::Reader ? sharing_.sharedInterval() : sharing_.ownInterval();
-    timer_ = loop_.timers().after(interval, [this] { poll(); });
+    ++storeReads_;
+    const auto interval = role_ == decisions::SharedReading::Role::Reader ? readIntervals_.sharedInterval()
+                                                                          : readIntervals_.ownInterval();
+    readTimer_ = loop_.timers().after(interval, [this] { poll(); });
 }
 
 /// Changes recorded after this call are attributed to this reading.
@@ -143,17 +144,17 @@
 
 auto ReplicaDirectory::apply(const std::vector<ListedReplica>& list, std::string_view source) -> void
 {
-    known_ = true;
+    loaded_ = true;
     if (list.empty())
         return;
     const auto before = replicas_.size();
-    logEachReplica_ = list.size() <= mostLoggedRows;
+    logEachReplica_ = list.size() <= maxLoggedRows;
     for (const auto& listed : list)
-        put(listed, source);
+        applyRow(listed, source);
     if (!logEachReplica_ && replicas_.size() > before)
         log::info(
-            "replicas known", { { "count", std::to_string(replicas_.size()) }, { "source", std::string(source) } });
-    index();
+            "replicas added", { { "count", std::to_string(replicas_.size()) }, { "source", std::string(source) } });
+    rebuildIndex();
     findSuperseded();
 }
 
@@ -180,13 +181,13 @@
     for (const auto& replica : replicas)
         remove(replica, "not listed");
     if (!replicas.empty())
-        index();
+        rebuildIndex();
 }
 
-auto ReplicaDirectory::made(ReplicaRecord record, std::string_view source) -> ReplicaPtr
+auto ReplicaDirectory::createReplica(ReplicaRecord record, std::string_view source) -> ReplicaPtr
 {
     if (logEachReplica_) {
-        log::info("replica known",
+        log::info("replica added",
             { { "replica", record.start.instance.str() }, { "birth", std::to_string(record.start.startTime.value()) },
                 { "service", record.service.str() }, { "peer", record.endpoint.str() },
                 { "source", std::string(source) } });
@@ -196,7 +197,7 @@
     return replica;
 }
 
-auto ReplicaDirectory::put(const ListedReplica& listed, std::string_view source) -> void
+auto ReplicaDirectory::applyRow(const ListedReplica& listed, std::string_view source) -> void
 {
     auto failure = std::string();
     auto read = orElse(
@@ -209,12 +210,12 @@
             return std::nullopt;
         });
     if (!read)
-        return putUnreadable(listed, failure);
+        return applyUnreadableRow(listed, failure);
     auto& replica = replicas_[listed.instance];
-    // A peer's list may be older than what is known here.
+    // A peer's list may be older than this entry's.
     if (replica && listed.version < replica->listVersion())
         return;
-    // The earlier start is over, whatever it was doing: requests that run there see that it is leaving.
+    // The earlier start of the replica is over. Requests that run there see that it is leaving.
     if (replica && !sameStart(replica->record().start, read->start)) {
         if (!replica->confirmsNewerStart(read->start.startTime, listed.version))
             return;
@@ -223,10 +224,10 @@
     auto& current = replicas_[listed.instance];
     const auto fresh = !current;
     if (fresh) {
-        current = made(*read, source);
+        current = createReplica(*read, source);
         noteChange(listed.instance);
     }
-    if (!alike(current->record(), *read) || current->unreadable())
+    if (!samePublishedState(current->record(), *read) || current->unreadable())
         noteChange(listed.instance);
     if (read->phase == ReplicaPhase::Draining && !current->leaving()) {
         current->setLeaving();
@@ -235,8 +236,8 @@
         noteChange(listed.instance);
         log::info("replica leaving", { { "replica", listed.instance.str() }, { "source", std::string(source) } });
     }
-    unreadable_.erase(listed.instance);
-    texts_[listed.instance] = listed;
+    unreadableVersions_.erase(listed.instance);
+    rows_[listed.instance] = listed;
     current->setUnreadable(false);
     current->confirmCurrentStart();
     holders_.note(current, fresh ? AdapterVersions() : current->record().adapters, read->adapters);
@@ -244,9 +245,9 @@
     current->setListVersion(listed.version);
 }
 
-/// The entry names no replica to use. Replicas heartbeat, so a row that something else has overwritten is readable
-/// again with the next one; what runs at the replica meanwhile goes on.
-auto ReplicaDirectory::putUnreadable(const ListedReplica& listed, const std::string& reason) -> void
+/// Sends no new requests to the replica until its row is readable. If another writer has overwritten the row, the
+/// replica's next heartbeat restores it. Requests that run there continue.
+auto ReplicaDirectory::applyUnreadableRow(const ListedReplica& listed, const std::string& reason) -> void
 {
     const auto known = replicas_.find(listed.instance);
     if (known != replicas_.end() && listed.version < known->second->listVersion())
@@ -255,21 +256,21 @@
         known->second->setUnreadable(true);
         noteChange(listed.instance);
     }
-    texts_[listed.instance] = listed;
-    if (const auto told = unreadable_.find(listed.instance);
-        told != unreadable_.end() && told->second == listed.version)
+    rows_[listed.instance] = listed;
+    if (const auto logged = unreadableVersions_.find(listed.instance);
+        logged != unreadableVersions_.end() && logged->second == listed.version)
         return;
-    constexpr auto mostTold = std::size_t(1000);
-    if (unreadable_.size() >= mostTold)
-        unreadable_.clear();
-    unreadable_[listed.instance] = listed.version;
-    log::error("list entry not understood",
+    constexpr auto maxLoggedVersions = std::size_t(1000);
+    if (unreadableVersions_.size() >= maxLoggedVersions)
+        unreadableVersions_.clear();
+    unreadableVersions_[listed.instance] = listed.version;
+    log::error("replica list entry unreadable",
         { { "peer", listed.instance.str() }, { "version", std::to_string(listed.version) }, { "reason", reason } });
 }
 
 auto ReplicaDirectory::remove(const ReplicaPtr& replica, std::string_view why) -> void
 {
-    log::info("replica gone", { { "replica", replica->id().str() }, { "reason", std::string(why) } });
+    log::info("replica removed", { { "replica", replica->id().str() }, { "reason", std::string(why) } });
     if (!replica->leaving())
         reportLeaving();
     history_.removed(replica->id(), newestVersion_);
@@ -277,21 +278,21 @@
     agentsChanged_ = true;
     replica->setLeaving();
     replica->pool().clear();
-    texts_.erase(replica->id());
+    rows_.erase(replica->id());
     replicas_.erase(replica->id());
 }
 
-auto ReplicaDirectory::gone(const InstanceId& instance, std::string_view why) -> void
+auto ReplicaDirectory::markGone(const InstanceId& instance, std::string_view why) -> void
 {
     const auto found = replicas_.find(instance);
     if (found == replicas_.end())
         return;
     const auto replica = found->second;
     replica->setLeaving();
-    log::info("replica gone", { { "replica", instance.str() }, { "reason", std::string(why) } });
+    log::info("replica removed", { { "replica", instance.str() }, { "reason", std::string(why) } });
 }
 
-auto ReplicaDirectory::index() -> void
+auto ReplicaDirectory::rebuildIndex() -> void
 {
     byService_.clear();
     for (const auto& [instance, replica] : replicas_)
@@ -300,8 +301,9 @@
         planSessions();
 }
 
-/// A replica that started anew is listed beside its last start until that lapses. What is sent to the old one comes
-/// back unrun and is paid from the retry budget, which after a loss of power is needed for everything else.
+/// Marks replicas whose address has a newer list entry. A restarted replica is listed beside its previous start until
+/// that entry expires. Requests sent to the previous start come back without having run and use up the retry budget,
+/// which is needed for other requests after a power failure.
 auto ReplicaDirectory::findSuperseded() -> void
 {
     auto newest = std::map<std::string, std::uint64_t>();
@@ -360,7 +362,7 @@
 
 auto ReplicaDirectory::notifyAgents() -> void
 {
-    notice_.readerWeight = reachable_ ? options_.readerWeight : 0;
+    notice_.readerWeight = storeReachable_ ? options_.readerWeight : 0;
     for (const auto& [instance, replica] : replicas_) {
         if (replica->agent())
             replica->agent()->notify(notice_);
@@ -393,15 +395,15 @@
 {
     if (!notice_.configuration)
         return;
-    // Half of the share: the other half is for connections in use and for new ones.
-    constexpr auto least = std::size_t(1);
-    constexpr auto most = std::size_t(16);
+    // Only half of the share may be idle; the other half is for connections in use and for new ones.
+    constexpr auto minIdle = std::size_t(1);
+    constexpr auto maxIdle = std::size_t(16);
     for (const auto& [instance, replica] : replicas_) {
         const auto service = notice_.configuration->services.find(replica->record().service);
         if (service == notice_.configuration->services.end())
             continue;
         const auto share = service->second.connectionLimit / (2 * std::max<std::size_t>(entries, 1));
-        replica->pool().setMostIdle(std::clamp(share, least, most));
+        replica->pool().setMaxIdle(std::clamp(share, minIdle, maxIdle));
     }
 }
 
@@ -457,13 +459,13 @@
         return difference;
     difference.whole = !history_.covers(since);
     if (difference.whole) {
-        for (const auto& [instance, listed] : texts_)
+        for (const auto& [instance, listed] : rows_)
             difference.listed.push_back(listed);
         return difference;
     }
     auto changes = history_.since(since);
     for (const auto& instance : changes.changed) {
-        if (const auto found = texts_.find(instance); found != texts_.end())
+        if (const auto found = rows_.find(instance); found != rows_.end())
             difference.listed.push_back(found->second);
     }
     difference.removed = std::move(changes.removed);
@@ -472,15 +474,15 @@
 
 auto ReplicaDirectory::listAge() const -> Duration
 {
-    return readAt_ ? loop_.timers().now() - *readAt_ : Duration::max();
+    return listReadAt_ ? loop_.timers().now() - *listReadAt_ : Duration::max();
 }
 
-auto ReplicaDirectory::learn(const ListDifference& difference, Duration age, std::string_view source) -> void
+auto ReplicaDirectory::applyPeerChanges(const ListDifference& difference, Duration age, std::string_view source) -> void
 {
     if (difference.version == 0)
         return;
     const auto readAt = loop_.timers().now() - age;
-    grace_.servedElsewhere(readAt);
+    expiryGrace_.servedElsewhere(readAt);
     advanceNewestVersion(difference.newestVersion);
     appliedListAge_ = age;
     apply(difference.listed, source);
@@ -489,15 +491,15 @@
         if (const auto found = replicas_.find(instance); found != replicas_.end())
             missing.push_back(found->second);
     }
-    // What was read here since that reading is newer.
+    // Replicas that this entry has read from the store since the peer read the list are kept.
     std::erase_if(
         missing, [&](const ReplicaPtr& replica) { return replica->listVersion() > difference.newestVersion; });
     removeAll(missing);
-    for (const auto& [instance, listed] : texts_) {
+    for (const auto& [instance, listed] : rows_) {
         if (const auto found = replicas_.find(instance); found != replicas_.end())
             found->second->setListedAt(readAt);
     }
-    readAt_ = std::max(readAt_.value_or(readAt), readAt);
+    listReadAt_ = std::max(listReadAt_.value_or(readAt), readAt);
     knownVersion_ = std::max(knownVersion_, difference.version);
 }
 
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -23,18 +23,18 @@
 class ReplicaDirectory {
 public:
     struct Hooks {
-        /// An agent told how its replica stands.
+        /// An agent sent the state of its replica.
         std::function<void(const ReplicaSnapshot&)> onState;
-        /// A replica is leaving and gets no new requests; the list that showed it was read `age` ago.
+        /// A replica is leaving and gets no new requests. `age` is the time since the list that showed it was read.
         std::function<void(Duration age)> onLeaving {};
     };
 
-    /// Who asks, and what agents and leaving replicas are to expect of it.
+    /// Identity of this entry, and its obligations to agents and to replicas that leave.
     struct Options {
         std::string entry;
         AvailabilityZone zone {};
         std::uint16_t agentPort = 0;
-        /// Within this a replica that leaves gets nothing new.
+        /// Time within which a replica that leaves must stop receiving new requests.
         Duration drainBound = 2s;
         /// See `EntryNotice`.
         double readerWeight = 0;
@@ -51,8 +51,10 @@
     ReplicaDirectory(wire::MainLoop& loop, hosting::Store& store, Options options, Hooks hooks);
 
     auto start() -> void;
-    /// Services whose replicas have an agent beside them.
+    /// Applies a new configuration, which tells the services whose replicas have an agent. `holder` is the address at
+    /// which this entry offers it to others.
     auto configure(std::shared_ptr<const ServingConfiguration> configuration, const std::string& holder) -> void;
+    /// Replicas of a service; empty if there are none.
     [[nodiscard]] auto replicasOf(const ServiceName& service) const -> const std::vector<ReplicaPtr>&;
     /// Replicas of the service that meet the condition. If there is a session with every agent, all of them; otherwise
     /// those whose state is known and a few others, chosen by the adapter's name and among its holders.
@@ -60,45 +62,45 @@
         -> std::vector<ReplicaPtr>;
     [[nodiscard]] auto all() const noexcept -> const std::map<InstanceId, ReplicaPtr>& { return replicas_; }
     /// Whether the list has been read, from the store or from a peer.
-    [[nodiscard]] auto known() const noexcept -> bool { return known_; }
-    /// Since when the store has not told it; empty while it does.
-    [[nodiscard]] auto lostSince() const noexcept -> std::optional<Moment> { return lostSince_; }
-    /// Divides the connections that each replica takes among the entries.
+    [[nodiscard]] auto loaded() const noexcept -> bool { return loaded_; }
+    /// When the store became unreachable; empty while it answers.
+    [[nodiscard]] auto storeLostSince() const noexcept -> std::optional<Moment> { return storeLostSince_; }
+    /// Limits the idle connections to each replica to this entry's share of the connections that the replica accepts.
     auto shareConnections(std::size_t entries) -> void;
     /// The changes of the list after the store's version `since`, for peers.
     [[nodiscard]] auto changesSince(std::uint64_t since) const -> ListDifference;
     /// Applies the changes sent by another entry that read the list `age` ago.
-    auto learn(const ListDifference& difference, Duration age, std::string_view source) -> void;
-    /// How long ago the store told the list; the longest time when it never did.
+    auto applyPeerChanges(const ListDifference& difference, Duration age, std::string_view source) -> void;
+    /// Time since the list was read from the store, here or by a peer; `Duration::max()` if never.
     [[nodiscard]] auto listAge() const -> Duration;
     /// The store's version up to which every change of the list is known.
     [[nodiscard]] auto knownVersion() const noexcept -> std::uint64_t { return knownVersion_; }
-    /// Told by the reader of the zone: the store is not read before `until`.
-    auto spare(Moment until) -> void { sparedUntil_ = until; }
-    [[nodiscard]] auto spared() const -> bool { return loop_.timers().now() < sparedUntil_; }
+    /// Suspends reading the store until `until`, because the reader of the zone supplies the list.
+    auto skipReadsUntil(Moment until) -> void { skipReadsUntil_ = until; }
+    [[nodiscard]] auto readsSkipped() const -> bool { return loop_.timers().now() < skipReadsUntil_; }
     /// Sets how this entry takes part in reading the store for its zone.
     auto setReadingRole(decisions::SharedReading::Role role) -> void;
-    /// Counts the readings of its own.
-    [[nodiscard]] auto readings() const noexcept -> std::uint64_t { return readings_; }
-    /// Another replica answers at this address: the instance is gone.
-    auto gone(const InstanceId& instance, std::string_view why) -> void;
+    /// Number of times this entry has read the list from the store.
+    [[nodiscard]] auto storeReads() const noexcept -> std::uint64_t { return storeReads_; }
+    /// Marks an instance as leaving because another instance answered at its address.
+    auto markGone(const InstanceId& instance, std::string_view why) -> void;
 
 private:
     auto noteChange(const InstanceId& instance) -> void { history_.changed(instance, newestVersion_); }
     auto advanceNewestVersion(std::uint64_t newestVersion) -> void;
     auto reportLeaving() -> void;
     auto poll() -> void;
-    auto take(hosting::StoreAnswer answer) -> void;
+    auto onStoreAnswer(hosting::StoreAnswer answer) -> void;
     auto apply(const std::vector<ListedReplica>& list, std::string_view source) -> void;
-    auto put(const ListedReplica& listed, std::string_view source) -> void;
-    auto putUnreadable(const ListedReplica& listed, const std::string& reason) -> void;
+    auto applyRow(const ListedReplica& listed, std::string_view source) -> void;
+    auto applyUnreadableRow(const ListedReplica& listed, const std::string& reason) -> void;
     auto noteListed(const std::vector<ListedReplica>& list, Moment now) -> void;
     /// Known replicas that are not in `named`.
     [[nodiscard]] auto missingFrom(const std::set<InstanceId>& named) const -> std::vector<ReplicaPtr>;
     auto removeAll(const std::vector<ReplicaPtr>& replicas) -> void;
-    [[nodiscard]] auto made(ReplicaRecord record, std::string_view source) -> ReplicaPtr;
+    [[nodiscard]] auto createReplica(ReplicaRecord record, std::string_view source) -> ReplicaPtr;
     auto remove(const ReplicaPtr& replica, std::string_view why) -> void;
-    auto index() -> void;
+    auto rebuildIndex() -> void;
     auto findSuperseded() -> void;
     auto linkAgent(const ReplicaPtr& replica) -> void;
     /// Reassigns the session policy of every agent.
@@ -113,9 +115,9 @@
     EntryNotice notice_;
     std::map<InstanceId, ReplicaPtr> replicas_;
     /// The list's rows, unparsed, for peers.
-    std::map<InstanceId, ListedReplica> texts_;
-    /// Versions of the rows that could not be read, so that each is told once.
-    std::map<InstanceId, std::uint64_t> unreadable_;
+    std::map<InstanceId, ListedReplica> rows_;
+    /// Versions of the unreadable rows, so that each is logged once.
+    std::map<InstanceId, std::uint64_t> unreadableVersions_;
     std::map<ServiceName, std::vector<ReplicaPtr>> byService_;
     AdapterHolders holders_;
     std::uint64_t entryHash_;
@@ -123,25 +125,25 @@
     bool agentsChanged_ = false;
     /// Whether this entry holds a session with every agent.
     bool fullMesh_ = true;
-    bool known_ = false;
+    bool loaded_ = false;
     bool logEachReplica_ = true;
-    bool reachable_ = false;
-    decisions::ExpiryGrace grace_;
-    std::optional<Moment> lostSince_;
-    std::optional<Moment> readAt_;
+    bool storeReachable_ = false;
+    decisions::ExpiryGrace expiryGrace_;
+    std::optional<Moment> storeLostSince_;
+    std::optional<Moment> listReadAt_;
     /// Age of the list that is being applied.
     Duration appliedListAge_ {};
-    kj::Maybe<kj::Promise<void>> work_;
-    decisions::SharedReading sharing_;
+    kj::Maybe<kj::Promise<void>> pendingRead_;
+    decisions::SharedReading readIntervals_;
     decisions::ChangeHistory<InstanceId> history_;
     /// Upper bound on the versions of all changes read so far, here or by peers.
     std::uint64_t newestVersion_ = 0;
     std::uint64_t knownVersion_ = 0;
-    std::uint64_t readings_ = 0;
+    std::uint64_t storeReads_ = 0;
     decisions::SharedReading::Role role_ = decisions::SharedReading::Role::Alone;
-    Moment sparedUntil_ {};
-    Moment askedAt_ {};
-    Timer timer_;
+    Moment skipReadsUntil_ {};
+    Moment lastReadStartedAt_ {};
+    Timer readTimer_;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/ReplicaLeg.cpp
+++ b/packages/serving/ReplicaLeg.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-// A connection within a region stands in a few milliseconds; a dropped opening packet is sent again after a second,
-// by which time another replica has answered.
-constexpr auto connectLimit = Duration(400ms);
-// Reuse of a connection that the replica may be closing just now loses a request that must not be sent again.
-constexpr auto freshForOnce = Duration(500ms);
-// Without a word of the replica about it.
-constexpr auto keptByDefault = std::chrono::seconds(4);
+// Connecting within a region takes a few milliseconds. A lost SYN is repeated only after a second, by which time
+// another replica would have answered.
+constexpr auto connectTimeout = Duration(400ms);
+// A request that must not be sent again is lost if the replica is just closing the connection that it is sent on.
+constexpr auto maxIdleForNonRepeatable = Duration(500ms);
+// Used when the replica sends no Keep-Alive timeout.
+constexpr auto defaultIdleTimeout = std::chrono::seconds(4);
 
 } // namespace
 
-auto toString(LegFault fault) noexcept -> std::string_view
+auto toString(ReplicaFault fault) noexcept -> std::string_view
 {
     switch (fault) {
-    case LegFault::NotSent:
+    case ReplicaFault::NotSent:
         return "not_sent";
-    case LegFault::Broken:
+    case ReplicaFault::Broken:
         return "broken";
-    case LegFault::BadBytes:
+    case ReplicaFault::BadBytes:
         break;
     }
     return "bad_bytes";
@@ -35,20 +35,21 @@
     connection_ = wire::TcpConnection::connect(endpoint.address, endpoint.port,
         { .onData = [this] { received(); },
             .onEnd = [this](wire::StreamEnd how) { ended(how); },
-            .onConnected = [this] { connecting_.cancel(); } });
+            .onConnected = [this] { connectTimer_.cancel(); } });
 }
 
-auto ReplicaConnection::send(std::string_view head, std::string_view body, Belongs belongs, Handlers handlers) -> void
+auto ReplicaConnection::send(std::string_view head, std::string_view body, IsOwnAnswer isOwnAnswer, Handlers handlers)
+    -> void
 {
-    belongs_ = std::move(belongs);
+    isOwnAnswer_ = std::move(isOwnAnswer);
     handlers_ = std::make_shared<const Handlers>(std::move(handlers));
     busy_ = true;
     reusable_ = false;
-    headTold_ = false;
-    skipping_ = false;
+    headReported_ = false;
+    skippingAnswer_ = false;
     reader_ = std::make_unique<wire::ResponseReader>();
     if (!connection_->connected())
-        connecting_ = timers_.after(connectLimit, [this] { fail(LegFault::NotSent); });
+        connectTimer_ = timers_.after(connectTimeout, [this] { fail(ReplicaFault::NotSent); });
     auto bytes = std::string();
     bytes.reserve(head.size() + body.size());
     connection_->write(bytes.append(head).append(body));
@@ -58,7 +59,7 @@
 {
     busy_ = false;
     reusable_ = false;
-    connecting_.cancel();
+    connectTimer_.cancel();
     handlers_.reset();
     if (connection_)
         connection_->reset();
@@ -69,7 +70,7 @@
     const auto alive = alive_;
     const auto handlers = handlers_;
     if (!busy_) {
-        // Bytes without a request belong to nobody; the connection cannot be trusted with another one.
+        // Bytes arrived without a pending request, so the connection cannot be reused.
         reusable_ = false;
         if (const auto callback = onIdleEnd_)
             callback();
@@ -78,53 +79,53 @@
     while (*alive && busy_) {
         const auto fault = reader_->feed(connection_->input(), pendingBody_);
         if (fault != wire::HttpFault::None)
-            return fail(LegFault::BadBytes);
-        if (reader_->headComplete() && !headTold_ && !readHead())
+            return fail(ReplicaFault::BadBytes);
+        if (reader_->headComplete() && !headReported_ && !readHead())
             continue;
         if (!*alive || !busy_)
             return;
         auto piece = std::exchange(pendingBody_, {});
-        if (!piece.empty() && !skipping_)
+        if (!piece.empty() && !skippingAnswer_)
             handlers->onBody(piece);
         if (!*alive || !busy_)
             return;
         if (!reader_->complete())
             return;
-        if (skipping_) {
+        if (skippingAnswer_) {
             reader_ = std::make_unique<wire::ResponseReader>();
-            skipping_ = false;
-            headTold_ = false;
+            skippingAnswer_ = false;
+            headReported_ = false;
             continue;
         }
         return finish();
     }
 }
 
-/// Looks at a head that is complete; false when the answer goes on to be read as another one.
+/// Handles a complete head. Returns false if it belongs to an interim answer or if this connection was destroyed.
 auto ReplicaConnection::readHead() -> bool
 {
-    constexpr auto firstFinal = 200;
+    constexpr auto firstFinalStatus = 200;
     const auto alive = alive_;
     const auto handlers = handlers_;
     const auto& head = reader_->head();
-    if (head.status < firstFinal) {
+    if (head.status < firstFinalStatus) {
         // An interim answer; the final one follows.
         reader_ = std::make_unique<wire::ResponseReader>();
         pendingBody_.clear();
         return false;
     }
-    headTold_ = true;
-    skipping_ = !belongs_(head);
-    strangers_ = strangers_ || skipping_;
+    headReported_ = true;
+    skippingAnswer_ = !isOwnAnswer_(head);
+    sawForeignAnswer_ = sawForeignAnswer_ || skippingAnswer_;
     const auto keep = head.fields.get("Keep-Alive");
     const auto at = keep.find("timeout=");
     if (at != std::string_view::npos) {
         auto digits = keep.substr(at + std::string_view("timeout=").size());
         digits = digits.substr(0, digits.find_first_not_of("0123456789"));
         if (const auto seconds = wire::decimal(digits))
-            keptFor_ = std::chrono::seconds(*seconds);
+            idleTimeout_ = std::chrono::seconds(*seconds);
     }
-    if (!skipping_)
+    if (!skippingAnswer_)
         handlers->onHead(head);
     return *alive;
 }
@@ -132,17 +133,17 @@
 auto ReplicaConnection::finish() -> void
 {
     busy_ = false;
-    // Bytes behind the answer belong to no request; an answer that came before the request was out leaves the rest of
-    // the request to be read as another one.
+    // Bytes after the answer belong to no request. If the answer arrived before the request was sent completely, the
+    // replica would read the rest of the request as another one.
     reusable_ = reader_->keepAlive() && connection_->input().empty() && connection_->backlog() == 0
-        && !connection_->over() && !strangers_;
+        && !connection_->over() && !sawForeignAnswer_;
     const auto handlers = std::exchange(handlers_, nullptr);
     handlers->onDone();
 }
 
 auto ReplicaConnection::ended(wire::StreamEnd how) -> void
 {
-    connecting_.cancel();
+    connectTimer_.cancel();
     const auto alive = alive_;
     if (!busy_) {
         reusable_ = false;
@@ -155,15 +156,15 @@
         if (!*alive || !busy_)
             return;
         reader_->finish();
-        if (reader_->complete() && headTold_ && !skipping_)
+        if (reader_->complete() && headReported_ && !skippingAnswer_)
             return finish();
     }
-    fail(connection_->connected() ? LegFault::Broken : LegFault::NotSent);
+    fail(connection_->connected() ? ReplicaFault::Broken : ReplicaFault::NotSent);
 }
 
-auto ReplicaConnection::fail(LegFault fault) -> void
+auto ReplicaConnection::fail(ReplicaFault fault) -> void
 {
-    connecting_.cancel();
+    connectTimer_.cancel();
     busy_ = false;
     reusable_ = false;
     connection_->reset();
@@ -171,18 +172,18 @@
     handlers->onFault(fault);
 }
 
-auto ConnectionPool::take(bool once) -> std::shared_ptr<ReplicaConnection>
+auto ConnectionPool::take(bool nonRepeatable) -> std::shared_ptr<ReplicaConnection>
 {
     const auto now = timers_.now();
     while (!idle_.empty()) {
         auto newest = std::move(idle_.back());
         idle_.pop_back();
-        // Half of what the replica says: its clock began before ours.
-        const auto kept = Duration(newest.connection->keptFor().value_or(keptByDefault)) / 2;
+        // Half of the replica's timeout, since the replica started counting earlier.
+        const auto kept = Duration(newest.connection->idleTimeout().value_or(defaultIdleTimeout)) / 2;
         const auto age = now - newest.since;
         if (age > kept || !newest.connection->usable())
             continue;
-        if (once && age > freshForOnce) {
+        if (nonRepeatable && age > maxIdleForNonRepeatable) {
             idle_.push_back(std::move(newest));
             break;
         }
@@ -194,7 +195,7 @@
 
 auto ConnectionPool::giveBack(std::shared_ptr<ReplicaConnection> connection) -> void
 {
-    if (!connection->reusable() || idle_.size() >= mostIdle_)
+    if (!connection->reusable() || idle_.size() >= maxIdle_)
         return;
     auto* raw = connection.get();
     connection->onIdleEnd(
--- a/packages/serving/ReplicaLeg.h
+++ b/packages/serving/ReplicaLeg.h
@@ -13,50 +13,51 @@
 namespace eelgrass::serving {
 
 /// How a request on a connection to a replica failed.
-enum class LegFault {
-    /// Not a byte of it reached the replica.
+enum class ReplicaFault {
+    /// No byte of the request reached the replica.
     NotSent,
-    /// The connection ended or broke before the answer was whole.
+    /// The connection was closed or reset before the answer was complete.
     Broken,
-    /// The replica sent what is no answer.
+    /// The replica sent bytes that are not a valid HTTP response.
     BadBytes,
 };
 
-[[nodiscard]] auto toString(LegFault) noexcept -> std::string_view;
+[[nodiscard]] auto toString(ReplicaFault) noexcept -> std::string_view;
 
-/// One connection to a replica: one request at a time, nothing ever sent twice.
+/// One connection to a replica. It carries one request at a time and never repeats one.
 class ReplicaConnection {
 public:
     struct Handlers {
         std::function<void(const wire::HttpResponseHead&)> onHead;
         std::function<void(std::string_view)> onBody;
-        /// The answer is whole by its framing.
+        /// The answer is complete according to its HTTP framing.
         std::function<void()> onDone;
-        std::function<void(LegFault)> onFault;
+        std::function<void(ReplicaFault)> onFault;
     };
-    /// Whether an answer's head belongs to the request that was sent; others are read past.
-    using Belongs = std::function<bool(const wire::HttpResponseHead&)>;
+    /// Whether the head of an answer belongs to the request that was sent. Other answers are skipped.
+    using IsOwnAnswer = std::function<bool(const wire::HttpResponseHead&)>;
 
     ReplicaConnection(TimerService& timers, const Endpoint& endpoint);
     ~ReplicaConnection() { *alive_ = false; }
     ReplicaConnection(const ReplicaConnection&) = delete;
     auto operator=(const ReplicaConnection&) -> ReplicaConnection& = delete;
 
-    /// Whether there is a socket at all.
+    /// Whether the connection has a socket that is not closed.
     [[nodiscard]] auto usable() const noexcept -> bool { return connection_ && !connection_->over(); }
-    auto send(std::string_view head, std::string_view body, Belongs belongs, Handlers handlers) -> void;
-    /// The caller of the answer is slow; nothing more is read until `resume`.
+    auto send(std::string_view head, std::string_view body, IsOwnAnswer isOwnAnswer, Handlers handlers) -> void;
+    /// Stops reading until `resume`, while the client cannot take more of the answer.
     auto pause() -> void { connection_->pauseReading(); }
     auto resume() -> void { connection_->resumeReading(); }
-    /// Closes at once, which ends the work behind it at the replica. No handler of what was sent is called afterwards:
-    /// the run that it spoke to may be over, and its caller's connection serve another request.
+    /// Closes the connection at once, which makes the replica stop working on the request. No handler of the request is
+    /// called afterwards: the request may be finished, and the client's connection may already serve another one.
     auto abort() -> void;
 
-    /// The answer is whole, nothing came beside it, and the replica keeps the connection.
+    /// Whether another request can be sent: the answer is complete, no other bytes arrived, and the replica keeps the
+    /// connection open.
     [[nodiscard]] auto reusable() const noexcept -> bool { return reusable_; }
-    /// How long the replica keeps an idle connection; empty when it does not say.
-    [[nodiscard]] auto keptFor() const noexcept -> std::optional<std::chrono::seconds> { return keptFor_; }
-    /// Told when an idle connection is of no use any more.
+    /// How long the replica keeps an idle connection open, from its Keep-Alive header; empty if it did not send one.
+    [[nodiscard]] auto idleTimeout() const noexcept -> std::optional<std::chrono::seconds> { return idleTimeout_; }
+    /// Sets the callback for an idle connection that can no longer be used.
     auto onIdleEnd(std::function<void()> callback) -> void { onIdleEnd_ = std::move(callback); }
 
 private:
@@ -64,27 +65,28 @@
     auto ended(wire::StreamEnd how) -> void;
     auto readHead() -> bool;
     auto finish() -> void;
-    auto fail(LegFault fault) -> void;
+    auto fail(ReplicaFault fault) -> void;
 
     TimerService& timers_;
     std::unique_ptr<wire::TcpConnection> connection_;
     std::unique_ptr<wire::ResponseReader> reader_;
-    Timer connecting_;
-    Belongs belongs_;
-    /// Shared, since a handler may end what it belongs to while it is at work.
+    Timer connectTimer_;
+    IsOwnAnswer isOwnAnswer_;
+    /// Shared, because a handler may destroy this connection while it runs.
     std::shared_ptr<const Handlers> handlers_;
     std::function<void()> onIdleEnd_;
     std::string pendingBody_;
-    std::optional<std::chrono::seconds> keptFor_;
+    std::optional<std::chrono::seconds> idleTimeout_;
     bool busy_ = false;
-    bool skipping_ = false;
-    bool headTold_ = false;
-    bool strangers_ = false;
+    bool skippingAnswer_ = false;
+    bool headReported_ = false;
+    bool sawForeignAnswer_ = false;
     bool reusable_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Idle connections to one replica, newest first, so that the ones not needed age and are closed.
+/// Pool of idle connections to one replica. The most recently used one is taken first, so that the others age and are
+/// closed.
 class ConnectionPool {
 public:
     ConnectionPool(TimerService& timers, Endpoint endpoint)
@@ -93,12 +95,12 @@
     {
     }
 
-    /// A connection to send on. `once`: the request must not be lost to a connection that the replica has just closed,
-    /// so only a connection used moments ago will do.
-    [[nodiscard]] auto take(bool once) -> std::shared_ptr<ReplicaConnection>;
+    /// Takes an idle connection or opens a new one. With `nonRepeatable`, only a connection used moments ago is reused:
+    /// the replica may just have closed an older one, and the request could not be sent again.
+    [[nodiscard]] auto take(bool nonRepeatable) -> std::shared_ptr<ReplicaConnection>;
     auto giveBack(std::shared_ptr<ReplicaConnection> connection) -> void;
-    /// Idle connections kept: the replica takes so many from all callers together.
-    auto setMostIdle(std::size_t most) -> void { mostIdle_ = most; }
+    /// Sets how many idle connections are kept; the replica's connection limit is shared by all entries.
+    auto setMaxIdle(std::size_t count) -> void { maxIdle_ = count; }
     [[nodiscard]] auto idle() const noexcept -> std::size_t { return idle_.size(); }
     auto clear() -> void { idle_.clear(); }
 
@@ -109,7 +111,7 @@
     };
     TimerService& timers_;
     Endpoint endpoint_;
-    std::size_t mostIdle_ = 4;
+    std::size_t maxIdle_ = 4;
     std::vector<Idle> idle_;
 };
 
--- a/packages/serving/RequestAnswer.cpp
+++ b/packages/serving/RequestAnswer.cpp
@@ -1,4 +1,4 @@
-// What comes back from a replica, and what becomes of it: the third part of RequestRun.
+// The part of RequestRun that handles a replica's answer and its failures.
 #include "base/Log.h"
 #include "serving/RequestRun.h"
 #include "serving/detail/RunLimits.h"
@@ -11,20 +11,20 @@
 
 using namespace detail;
 
-/// Answers that promise that the request has not run; a replica that says so of a request that it ran must not be
-/// believed by the client.
+/// Statuses that promise the client that its request has not run. A replica may send one for a request that it did run,
+/// and the client would then repeat the request.
 auto promisesNotRun(int status) -> bool { return status == 408 || status == 421 || status == 429 || status == 503; }
 
 } // namespace
 
-/// A request that may run again is not left to one silent replica for all of its time.
-auto RequestRun::armSilence() -> void
+/// Limits how long a request that may run again waits for a silent replica, so that time is left to try another one.
+auto RequestRun::startSilenceTimer() -> void
 {
-    silence_.cancel();
-    if (!route_->repeatable() || runs_ + 1 >= route_->maxRuns || sends_ >= mostSends)
+    silenceTimer_.cancel();
+    if (!route_->repeatable() || runs_ + 1 >= route_->maxRuns || sends_ >= maxSends)
         return;
-    const auto limit = firstEventSeen_ || streaming_ ? streamSilence : timeLeft() / 2;
-    silence_ = gateway_.loop.timers().after(limit, guarded(&RequestRun::onSilence));
+    const auto limit = firstEventSeen_ || streaming_ ? streamSilenceLimit : timeLeft() / 2;
+    silenceTimer_ = gateway_.loop.timers().after(limit, guarded(&RequestRun::onSilence));
 }
 
 auto RequestRun::onSilence() -> void
@@ -32,8 +32,8 @@
     const auto self = shared_from_this();
     ++runs_;
     replica_->failed(gateway_.now());
-    leaveReplica(false, RunEnd::Broke);
-    again("silence");
+    releaseReplica(false, RunEnd::Broke);
+    retry("silence");
 }
 
 auto RequestRun::onHead(const wire::HttpResponseHead& head) -> void
@@ -41,7 +41,7 @@
     head_ = head;
     streaming_ = route_->streamed && head.status == ok;
     if (streaming_)
-        armSilence();
+        startSilenceTimer();
 }
 
 auto RequestRun::onBody(std::string_view bytes) -> void
@@ -54,45 +54,46 @@
 auto RequestRun::onEvents(std::string_view bytes) -> void
 {
     const auto self = shared_from_this();
-    armSilence();
+    startSilenceTimer();
     for (const auto& event : events_.feed(bytes)) {
-        if (!tellEvent(event))
+        if (!forwardEvent(event))
             return;
     }
-    if (connection_ && caller_->backlog() > mostBacklog)
+    if (connection_ && caller_->backlog() > maxBacklog)
         connection_->pause();
 }
 
-/// Passes one whole event on; false when the run ended over it.
-auto RequestRun::tellEvent(const StreamEvent& event) -> bool
+/// Forwards one complete event to the client. Returns false if the request ended.
+auto RequestRun::forwardEvent(const StreamEvent& event) -> bool
 {
-    if (event.id && lastEvent_) {
-        // After a change of replica an event may come a second time; a gap would lose a piece of the answer.
-        if (*event.id <= *lastEvent_)
+    if (event.id && lastEventId_) {
+        // After a change of replica an event may arrive twice and is skipped. A gap means that part of the answer is
+        // lost.
+        if (*event.id <= *lastEventId_)
             return true;
-        if (*event.id > *lastEvent_ + 1) {
+        if (*event.id > *lastEventId_ + 1) {
             ++runs_;
-            leaveReplica(false);
+            releaseReplica(false);
             giveUp("events missing");
             return false;
         }
     }
     if (event.id)
-        lastEvent_ = event.id;
+        lastEventId_ = event.id;
     if (!std::exchange(firstEventSeen_, true)) {
-        firstAt_ = gateway_.now();
-        end_ = gateway_.loop.timers().after(endAt_ - firstAt_, guarded(&RequestRun::onTimeUp));
-        if (grantedBy_)
-            grantedBy_->started(facts_.attempt);
+        firstEventAt_ = gateway_.now();
+        deadlineTimer_ = gateway_.loop.timers().after(endAt_ - firstEventAt_, guarded(&RequestRun::onTimeUp));
+        if (admittingAgent_)
+            admittingAgent_->started(facts_.attempt);
     }
-    if (told_ == Told::Nothing) {
-        told_ = Told::Streaming;
+    if (delivered_ == Delivered::Nothing) {
+        delivered_ = Delivered::Part;
         caller_->begin({ head_.status, hosting::returnedFields(head_) });
     }
     const auto now = gateway_.now();
-    if (lastTold_ != Moment())
-        longestPause_ = std::max(longestPause_, now - lastTold_);
-    lastTold_ = now;
+    if (lastForwardedAt_ != Moment())
+        longestPause_ = std::max(longestPause_, now - lastForwardedAt_);
+    lastForwardedAt_ = now;
     caller_->writeChunk(event.text);
     return true;
 }
@@ -102,27 +103,27 @@
     const auto self = shared_from_this();
     const auto facts = hosting::readAnswerMetadata(head_, facts_.attempt);
     const auto now = gateway_.now();
-    silence_.cancel();
+    silenceTimer_.cancel();
     if (facts.notRun) {
         if (facts.otherInstance && !facts.instance.empty() && facts.instance != replica_->id())
-            gateway_.directory.gone(replica_->id(), "another instance has its address");
+            gateway_.directory.markGone(replica_->id(), "another instance has its address");
         else if (!facts.otherInstance)
             replica_->reportedFull(now);
-        leaveReplica(true);
+        releaseReplica(true);
         return onNotRun(head_.status == unavailable ? "replica full" : "replica did not run it");
     }
     ++runs_;
-    gateway_.suspects.succeeded(digest_);
+    gateway_.suspects.recordSuccess(digest_);
     if (streaming_) {
-        if (!events_.rest().empty()) {
-            leaveReplica(false);
+        if (!events_.incomplete().empty()) {
+            releaseReplica(false);
             return giveUp("stream ended within an event");
         }
         replica_->succeeded(now - sentAt_);
-        leaveReplica(true);
-        if (told_ == Told::Nothing)
+        releaseReplica(true);
+        if (delivered_ == Delivered::Nothing)
             caller_->begin({ head_.status, hosting::returnedFields(head_) });
-        told_ = Told::Whole;
+        delivered_ = Delivered::Everything;
         caller_->finish();
         return finish(ok, "answered", {});
     }
@@ -131,32 +132,33 @@
     else
         replica_->succeeded(now - sentAt_);
     const auto failed = head_.status >= firstServerError && head_.status != gatewayTimeout;
-    leaveReplica(true, failed ? RunEnd::Failed : RunEnd::Plain);
+    releaseReplica(true, failed ? RunEnd::Failed : RunEnd::Plain);
     if (head_.status >= firstServerError && mayRunAgain())
-        return again("replica failed");
-    if (told_ == Told::Streaming)
+        return retry("replica failed");
+    if (delivered_ == Delivered::Part)
         return giveUp("stream not resumed");
-    // A replica that calls a request unrun without its mark, or an answer without its signature, is not passed on.
+    // Not forwarded: an answer without the replica's seal, and a status that promises that the request has not run
+    // without the header that confirms it.
     if (!facts.sealed || promisesNotRun(head_.status))
         return fail(badGateway, "answer not to be trusted");
-    told_ = Told::Whole;
+    delivered_ = Delivered::Everything;
     caller_->respond({ head_.status, hosting::returnedFields(head_) }, body_);
     finish(head_.status, "answered", {});
 }
 
-auto RequestRun::onFault(LegFault fault) -> void
+auto RequestRun::onFault(ReplicaFault fault) -> void
 {
     const auto self = shared_from_this();
-    silence_.cancel();
+    silenceTimer_.cancel();
     replica_->failed(gateway_.now());
-    leaveReplica(false, fault == LegFault::NotSent ? RunEnd::Plain : RunEnd::Broke);
-    if (fault == LegFault::NotSent)
+    releaseReplica(false, fault == ReplicaFault::NotSent ? RunEnd::Plain : RunEnd::Broke);
+    if (fault == ReplicaFault::NotSent)
         return onNotRun("not reached");
     ++runs_;
-    gateway_.suspects.broke(digest_);
-    logDecision("leg broken", toString(fault));
+    gateway_.suspects.recordBreak(digest_);
+    logDecision("replica connection failed", toString(fault));
     if (mayRunAgain())
-        return again(toString(fault));
+        return retry(toString(fault));
     giveUp("the replica broke off");
 }
 
@@ -164,9 +166,9 @@
 {
     logDecision("not run", why);
     tried_.insert(replica_->id());
-    if (sends_ >= mostSends)
+    if (sends_ >= maxSends)
         return giveUp(why);
-    again(why);
+    retry(why);
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -1,4 +1,4 @@
-// The way of a request to a replica: the second part of RequestRun.
+// The part of RequestRun that chooses a replica for the request and gets it admitted there.
 #include "serving/RequestRun.h"
 #include "serving/detail/RunLimits.h"
 
@@ -10,8 +10,8 @@
 
 using namespace detail;
 
-/// The median of what replicas read in a millisecond; 0 while none is known.
-auto usualReadRate(const std::vector<ReplicaPtr>& replicas) -> double
+/// Median prefill rate of the replicas, in tokens per millisecond; 0 while none is known.
+auto medianReadRate(const std::vector<ReplicaPtr>& replicas) -> double
 {
     auto rates = std::vector<double>();
     for (const auto& replica : replicas) {
@@ -45,22 +45,21 @@
         view.holds = true;
         if (fastest.count() > 0 && replica->meanTime().count() > 0)
             view.slowness = std::min(
-                slowestFactor, static_cast<double>(replica->meanTime().count()) / static_cast<double>(fastest.count()));
+                maxSlowness, static_cast<double>(replica->meanTime().count()) / static_cast<double>(fastest.count()));
         return view;
     }
-    view.slowness = agent->alive() && agent->state().readRate > 0
-        ? std::min(slowestFactor, readRate / agent->state().readRate)
-        : 1;
-    view.cachedTokens = replica->prompts().tokens(shared_);
+    view.slowness
+        = agent->alive() && agent->state().readRate > 0 ? std::min(maxSlowness, readRate / agent->state().readRate) : 1;
+    view.cachedTokens = replica->prompts().tokens(sharedPrefixes_);
     if (!agent->alive()) {
-        // Without its agent a replica serves what it holds, by the list.
+        // Without a session with its agent, the platform's list tells what a replica holds.
         view.holds = replica->record().hasBaseModel
             && (facts_.adapter.empty() || replica->record().adapters.contains(facts_.adapter));
         view.canLoad = agent->mayOpen();
         if (!view.canLoad)
             return view;
-        // Assumed idle; its agent reports at once if it is not. Ranked lower, each entry would load the adapter on
-        // whichever replicas it has sessions with.
+        // The replica is assumed to be idle, as its agent reports at once if it is not. If such replicas were ranked
+        // lower, each entry would load the adapter on the replicas that it happens to have sessions with.
         view.loading = replica->hasRequestedLoad(facts_.adapter);
         view.warm = replica->warm(facts_.adapter);
         view.spareSlots = 1;
@@ -82,30 +81,31 @@
     return view;
 }
 
-auto RequestRun::mayTry(const Replica& replica, Moment now) const -> bool
+auto RequestRun::isCandidate(const Replica& replica, Moment now) const -> bool
 {
-    return !late_.contains(replica.id()) && mayTake(replica, now);
+    return !lateReplicas_.contains(replica.id()) && isEligible(replica, now);
 }
 
-auto RequestRun::mayTake(const Replica& replica, Moment now) const -> bool
+auto RequestRun::isEligible(const Replica& replica, Moment now) const -> bool
 {
     if (!replica.usable(now) || tried_.contains(replica.id()))
         return false;
     const auto* agent = replica.agent();
     if (!agent || !agent->alive())
         return true;
-    // After a restart both starts of a replica are listed for a while, at one address and with one agent.
+    // After a restart the old and the new start of a replica are both listed for a while, at one address and with one
+    // agent.
     return agent->state().usable && sameStart(agent->state().start, replica.record().start);
 }
 
-/// Replicas that cannot be tried are left out before anything is worked out: in an outage every waiting request looks
-/// again every 25 ms, and at a hundred replicas that was all that a small entry did.
-auto RequestRun::choose() -> std::optional<Choice>
+/// Filters out unusable replicas before scoring. During an outage every waiting request repeats the choice every 25 ms;
+/// with a hundred replicas, scoring all of them took all the processor time of a small entry.
+auto RequestRun::chooseReplica() -> std::optional<Choice>
 {
     const auto now = gateway_.now();
-    const auto sharedId = shared_.empty() ? 0 : shared_.back().id;
+    const auto sharedId = sharedPrefixes_.empty() ? 0 : sharedPrefixes_.back().id;
     const auto usable = gateway_.directory.candidates(
-        { service_, facts_.adapter, sharedId }, [&](const Replica& replica) { return mayTry(replica, now); });
+        { service_, facts_.adapter, sharedId }, [&](const Replica& replica) { return isCandidate(replica, now); });
     if (usable.empty())
         return std::nullopt;
     auto fastest = Duration::max();
@@ -113,7 +113,7 @@
         if (replica->meanTime().count() > 0)
             fastest = std::min(fastest, replica->meanTime());
     }
-    const auto readRate = usualReadRate(usable);
+    const auto readRate = medianReadRate(usable);
     auto views = std::vector<decisions::ReplicaView>();
     views.reserve(usable.size());
     for (const auto& replica : usable)
@@ -134,24 +134,25 @@
 
 auto RequestRun::place() -> void
 {
-    if (over_)
+    if (finished_)
         return;
-    auto choice = choose();
-    if (!choice && !late_.empty()) {
-        // Late is better than never.
-        late_.clear();
-        choice = choose();
+    auto choice = chooseReplica();
+    if (!choice && !lateReplicas_.empty()) {
+        // Every usable replica would start the request late; a late start is better than a refusal.
+        lateReplicas_.clear();
+        choice = chooseReplica();
     }
     if (!choice)
         return waitForPlace();
     replica_ = choice->replica;
-    approach();
+    proceedAtReplica();
 }
 
-/// Asks for admission at the chosen replica, or sends at once where nobody gives it.
-auto RequestRun::approach() -> void
+/// Requests admission at the chosen replica, after opening a session with its agent if needed. Sends at once to a
+/// replica whose agent is absent or cannot be reached.
+auto RequestRun::proceedAtReplica() -> void
 {
-    if (over_)
+    if (finished_)
         return;
     if (replica_->agent() && replica_->agent()->alive())
         return admit();
@@ -162,10 +163,10 @@
 
 auto RequestRun::openSession() -> void
 {
-    const auto number = ++admissions_;
+    const auto number = ++admissionCount_;
     const auto deferred = [this, number](void (RequestRun::*step)()) {
         gateway_.deferred.add([self = shared_from_this(), number, step] {
-            if (number == self->admissions_)
+            if (number == self->admissionCount_)
                 (self.get()->*step)();
         });
     };
@@ -173,35 +174,35 @@
                      ->open()
                      .then([deferred] { deferred(&RequestRun::sessionOpened); })
                      .eagerlyEvaluate([deferred](kj::Exception&&) { deferred(&RequestRun::sessionFailed); });
-    wait_ = gateway_.loop.timers().after(sessionOpenLimit, guarded(&RequestRun::sessionFailed));
+    waitTimer_ = gateway_.loop.timers().after(sessionOpenLimit, guarded(&RequestRun::sessionFailed));
 }
 
 auto RequestRun::sessionOpened() -> void
 {
-    wait_.cancel();
-    approach();
+    waitTimer_.cancel();
+    proceedAtReplica();
 }
 
 auto RequestRun::sessionFailed() -> void
 {
-    if (over_)
+    if (finished_)
         return;
     replica_->agent()->abandonOpening();
     abandonAdmission("agent not reached");
 }
 
-/// No replica can be tried now. Waits a little if one may be soon, and says at once that it is hopeless otherwise.
+/// No replica can be tried now. Waits for a short time if one may become usable, and gives up at once otherwise.
 auto RequestRun::waitForPlace() -> void
 {
     const auto now = gateway_.now();
     const auto& replicas = gateway_.directory.replicasOf(service_);
     const auto untried = std::any_of(replicas.begin(), replicas.end(),
         [&](const ReplicaPtr& replica) { return !replica->leaving() && !tried_.contains(replica->id()); });
-    if (!untried || sends_ >= mostSends)
+    if (!untried || sends_ >= maxSends)
         return giveUp(replicas.empty() ? "no replica" : "every replica refused or failed");
-    if (now + placeAgain >= lateAt_)
+    if (now + placementRetryDelay >= lateAt_)
         return giveUp("no replica free in time");
-    wait_ = gateway_.loop.timers().after(placeAgain, guarded(&RequestRun::place));
+    waitTimer_ = gateway_.loop.timers().after(placementRetryDelay, guarded(&RequestRun::place));
 }
 
 auto RequestRun::admit() -> void
@@ -214,106 +215,109 @@
         .adapter = facts_.adapter,
         .version = gateway_.configuration.versionOf(facts_.model, facts_.adapter),
         .promptTokens = facts_.promptTokens,
-        .shared = shared_,
+        .shared = sharedPrefixes_,
         .outputTokens = facts_.outputTokens,
-        .priority = urgency(),
+        .priority = priority(),
         .timeUntilLate = left(firstEventSeen_ ? now + Duration(route_->eventGapTarget) : lateAt_),
-        .timeUntilGiveUp = left(firstEventSeen_ ? std::min(endAt_, lastTold_ + patience(*route_)) : firstBy_),
-        .elsewhere = sentOn_ < mostSentOn && !late_.contains(replica_->id()) };
+        .timeUntilGiveUp
+        = left(firstEventSeen_ ? std::min(endAt_, lastForwardedAt_ + clientEventTimeout(*route_)) : firstEventBy_),
+        .elsewhere = lateRedirects_ < maxLateRedirects && !lateReplicas_.contains(replica_->id()) };
     if (!facts_.adapter.empty() && !agent->state().resident.contains(facts_.adapter))
         replica_->noteLoadRequested(facts_.adapter);
-    grantedBy_ = agent;
-    askedAt_ = now;
-    // Answered from the loop: the run may end over the answer, and a promise must not be destroyed within its own call.
-    const auto number = ++admissions_;
+    admittingAgent_ = agent;
+    admissionAskedAt_ = now;
+    // The answer is handled from the event loop: it may end the request, and a promise must not be destroyed within its
+    // own callback.
+    const auto number = ++admissionCount_;
     admission_ = agent->admit(order)
                      .then([this, number](AdmitResult&& result) {
                          gateway_.deferred.add([self = shared_from_this(), result, number] {
-                             if (number == self->admissions_)
-                                 self->admitted(result);
+                             if (number == self->admissionCount_)
+                                 self->onAdmitResult(result);
                          });
                      })
                      .eagerlyEvaluate([this, number](kj::Exception&&) {
                          gateway_.deferred.add([self = shared_from_this(), number] {
-                             if (number == self->admissions_)
+                             if (number == self->admissionCount_)
                                  self->abandonAdmission("agent lost");
                          });
                      });
-    wait_ = gateway_.loop.timers().every(agentCheck, guarded(&RequestRun::checkAgent));
+    waitTimer_ = gateway_.loop.timers().every(agentCheckInterval, guarded(&RequestRun::checkAgent));
 }
 
 auto RequestRun::checkAgent() -> void
 {
     if (replica_->leaving())
         return abandonAdmission("replica leaving");
-    if (replica_->agent()->isResponsive(askedAt_))
+    if (replica_->agent()->isResponsive(admissionAskedAt_))
         return;
     replica_->agent()->markUnresponsive();
     abandonAdmission("agent silent");
 }
 
-auto RequestRun::admitted(const AdmitResult& result) -> void
+auto RequestRun::onAdmitResult(const AdmitResult& result) -> void
 {
-    wait_.cancel();
-    if (over_) {
+    waitTimer_.cancel();
+    if (finished_) {
         if (result.granted)
             replica_->agent()->release(facts_.attempt);
         return;
     }
-    // It may have waited there for longer than a replica that leaves may be given work.
+    // The replica may have begun to drain while the request waited for admission.
     if (replica_->leaving())
         return abandonAdmission("replica leaving");
     if (result.granted) {
         const auto version = facts_.adapter.empty() ? std::nullopt : std::optional(result.version);
         return send(version);
     }
-    grantedBy_ = nullptr;
+    admittingAgent_ = nullptr;
     logDecision("admission refused", result.reason);
     if (result.late)
-        return lateThere(result);
+        return onLateRefusal(result);
     tried_.insert(replica_->id());
-    // Another replica may be free, but not many are asked: each answer takes its time.
-    if (tried_.size() >= mostSends)
+    // Another replica may be free, but only a few are asked, since each answer takes time.
+    if (tried_.size() >= maxSends)
         return refuse(result.reason, result.retryAfter);
-    late_.clear();
-    const auto choice = choose();
+    lateReplicas_.clear();
+    const auto choice = chooseReplica();
     if (!choice)
         return refuse(result.reason, result.retryAfter);
     replica_ = choice->replica;
-    approach();
+    proceedAtReplica();
 }
 
-/// What the replica itself says of its queue is true, what is known here of others is not quite: it goes there only for
-/// what looks sooner, twice at the most, and stays at the soonest of those that it asked otherwise.
-auto RequestRun::lateThere(const AdmitResult& result) -> void
+/// The replica's own estimate is exact, while this entry's estimates for other replicas are not. The request is moved
+/// only to a replica that is expected to start it sooner, at most twice, and otherwise goes to the one with the
+/// earliest start among those already asked.
+auto RequestRun::onLateRefusal(const AdmitResult& result) -> void
 {
     const auto now = gateway_.now();
-    ++sentOn_;
-    late_.insert(replica_->id());
-    if (!soonest_ || now + result.retryAfter < soonestStart_) {
-        soonest_ = replica_;
+    ++lateRedirects_;
+    lateReplicas_.insert(replica_->id());
+    if (!soonestReplica_ || now + result.retryAfter < soonestStart_) {
+        soonestReplica_ = replica_;
         soonestStart_ = now + result.retryAfter;
     }
-    const auto choice = choose();
+    const auto choice = chooseReplica();
     const auto better = choice && now + choice->start < soonestStart_;
     if (better)
         replica_ = choice->replica;
-    else if (mayTake(*soonest_, now))
-        replica_ = soonest_;
+    else if (isEligible(*soonestReplica_, now))
+        replica_ = soonestReplica_;
     else
         return place();
-    approach();
+    proceedAtReplica();
 }
 
 auto RequestRun::abandonAdmission(std::string_view why) -> void
 {
     logDecision("admission abandoned", why);
-    ++admissions_;
-    wait_.cancel();
-    if (grantedBy_)
-        grantedBy_->release(facts_.attempt);
-    grantedBy_ = nullptr;
-    if (over_)
+    ++admissionCount_;
+    waitTimer_.cancel();
+    if (admittingAgent_)
+        admittingAgent_->release(facts_.attempt);
+    admittingAgent_ = nullptr;
+    if (finished_)
         return;
     admission_ = nullptr;
     place();
--- a/packages/serving/RequestRun.cpp
+++ b/packages/serving/RequestRun.cpp
@@ -13,7 +13,7 @@
 
 using namespace detail;
 
-/// All parts but the last are shared; the last one belongs to the request or its session.
+/// Every part of a prompt but the last can be shared; the last one belongs to the request or its session.
 auto sharedPrefixes(const RequestMetadata& facts) -> std::vector<decisions::SharedPrefix>
 {
     auto prefixes = std::vector<decisions::SharedPrefix>();
@@ -27,7 +27,7 @@
     return prefixes;
 }
 
-auto text(Duration time) -> std::string { return std::to_string(time.count() / 1000); }
+auto millisecondsText(Duration time) -> std::string { return std::to_string(time.count() / 1000); }
 
 } // namespace
 
@@ -43,10 +43,10 @@
 auto RequestRun::start() -> void
 {
     configuration_ = gateway_.configuration.configuration();
-    const auto known = configuration_ && gateway_.directory.known();
-    if (!known && gateway_.now() - beganAt_ < configurationWait) {
+    const auto loaded = configuration_ && gateway_.directory.loaded();
+    if (!loaded && gateway_.now() - beganAt_ < configurationWait) {
         caller_->watch({ .onGone = [self = shared_from_this()] { self->onCallerGone(); } });
-        wait_ = gateway_.loop.timers().after(placeAgain, guarded(&RequestRun::start));
+        waitTimer_ = gateway_.loop.timers().after(placementRetryDelay, guarded(&RequestRun::start));
         return;
     }
     if (!readRequest())
@@ -54,10 +54,10 @@
     caller_->watch({ .onGone = [self = shared_from_this()] { self->onCallerGone(); },
         .onDrained =
             [self = shared_from_this()] {
-                if (self->connection_ && self->caller_->backlog() < mostBacklog)
+                if (self->connection_ && self->caller_->backlog() < maxBacklog)
                     self->connection_->resume();
             } });
-    end_ = gateway_.loop.timers().after(firstBy_ - gateway_.now(), guarded(&RequestRun::onTimeUp));
+    deadlineTimer_ = gateway_.loop.timers().after(firstEventBy_ - gateway_.now(), guarded(&RequestRun::onTimeUp));
     takeQuota();
 }
 
@@ -66,8 +66,8 @@
     auto facts = hosting::readRequestMetadata(request_);
     if (facts)
         facts_ = std::move(*facts);
-    if (!configuration_ || !gateway_.directory.known()) {
-        refuse("no configuration yet", retryWhenUnknown);
+    if (!configuration_ || !gateway_.directory.loaded()) {
+        refuse("no configuration yet", defaultRetryAfter);
         return false;
     }
     route_ = gateway_.configuration.routes().find(request_.fields.get("Host"), request_.path());
@@ -82,7 +82,7 @@
     if (!authenticate())
         return false;
     digest_ = digestOf(request_, facts_, member_ ? member_->name : MemberId());
-    if (gateway_.suspects.refused(digest_)) {
+    if (gateway_.suspects.isBlocked(digest_)) {
         fail(badGateway, "breaks off wherever it runs");
         return false;
     }
@@ -90,9 +90,9 @@
     const auto timeout = Duration(route_->timeout);
     const auto deadline = facts_.deadline ? Duration(*facts_.deadline) - answerMargin : timeout;
     endAt_ = beganAt_ + std::min(timeout, deadline);
-    firstBy_ = route_->streamed ? std::min(endAt_, beganAt_ + patience(*route_)) : endAt_;
+    firstEventBy_ = route_->streamed ? std::min(endAt_, beganAt_ + clientEventTimeout(*route_)) : endAt_;
     lateAt_ = beganAt_ + Duration(route_->latencyTarget);
-    shared_ = sharedPrefixes(facts_);
+    sharedPrefixes_ = sharedPrefixes(facts_);
     return true;
 }
 
@@ -101,10 +101,10 @@
     const auto& members = gateway_.configuration.members();
     if (route_->isPublic || members.empty())
         return true;
-    // What is not known to be in force says nothing, neither for a key nor against it.
-    if (!gateway_.configuration.keysHold()) {
+    // An outdated configuration can neither confirm nor reject a key.
+    if (!gateway_.configuration.keysUsable()) {
         gateway_.metrics.count("eelgrass_failed_closed_total", {});
-        refuse("configuration not confirmed", retryWhenUnknown);
+        refuse("configuration not confirmed", defaultRetryAfter);
         return false;
     }
     member_ = members.find(hosting::readKey(request_));
@@ -113,54 +113,54 @@
     return member_ != nullptr;
 }
 
-auto RequestRun::keyHolds() -> bool
+auto RequestRun::keyStillValid() -> bool
 {
     if (!member_)
         return true;
-    if (!gateway_.configuration.keysHold()) {
+    if (!gateway_.configuration.keysUsable()) {
         gateway_.metrics.count("eelgrass_failed_closed_total", {});
         giveUp("configuration not confirmed");
         return false;
     }
-    // It may have waited for longer than a key that was taken away may be used.
+    // The request may have waited longer than the bound within which a removed key must be out of use.
     if (gateway_.configuration.configuration() == configuration_)
         return true;
     const auto& members = gateway_.configuration.members();
     const auto* holder = members.find(hosting::readKey(request_));
     if (members.empty() || (holder && holder->name == member_->name))
         return true;
-    if (runs_ > 0 || told_ != Told::Nothing)
+    if (runs_ > 0 || delivered_ != Delivered::Nothing)
         giveUp("key taken away");
     else
         fail(unauthorized, "key taken away");
     return false;
 }
 
-auto RequestRun::urgency() const -> std::uint32_t
+auto RequestRun::priority() const -> std::uint32_t
 {
     return member_ && member_->priority ? *member_->priority : route_->priority;
 }
 
-/// Counted before anything is asked of a replica: who is over its limit hears so at once.
+/// Charges the quota before any replica is involved, so that a member over its limit is refused at once.
 auto RequestRun::takeQuota() -> void
 {
     const auto charge = member_ ? gateway_.quotas.chargeFor(*member_, configuration_->version, facts_) : std::nullopt;
     if (!charge)
         return place();
-    // Answered from the loop, as an admission is.
+    // The verdict is handled from the event loop, since a promise must not be destroyed within its own callback.
     admission_ = gateway_.quotas.take(*charge, gateway_.entries)
                      .then([this, charge = *charge](QuotaDecision&& verdict) {
                          gateway_.deferred.add(
-                             [self = shared_from_this(), charge, verdict] { self->quotaAnswered(charge, verdict); });
+                             [self = shared_from_this(), charge, verdict] { self->onQuotaVerdict(charge, verdict); });
                      })
                      .eagerlyEvaluate([](kj::Exception&& error) {
-                         log::error("quota not counted", { { "reason", error.getDescription().cStr() } });
+                         log::error("quota charge failed", { { "reason", error.getDescription().cStr() } });
                      });
 }
 
-auto RequestRun::quotaAnswered(const QuotaCharge& charge, const QuotaDecision& verdict) -> void
+auto RequestRun::onQuotaVerdict(const QuotaCharge& charge, const QuotaDecision& verdict) -> void
 {
-    if (over_) {
+    if (finished_) {
         if (verdict.granted)
             gateway_.quotas.giveBack(charge);
         return;
@@ -183,10 +183,10 @@
 
 auto RequestRun::send(std::optional<AdapterVersion> version) -> void
 {
-    // Not enough time to be an offer: it would be cut off at once, and then nobody could say that it has not run.
-    if (timeLeft() < leastTime)
+    // With less time left the request would be cut off at once, and nobody could tell the client that it has not run.
+    if (timeLeft() < minTimeToSend)
         return onTimeUp();
-    if (!keyHolds())
+    if (!keyStillValid())
         return;
     const auto now = gateway_.now();
     auto& budget = gateway_.budget(service_);
@@ -194,12 +194,12 @@
         budget.sent(now);
     else if (!budget.take(now, gateway_.entries))
         return giveUp("retry budget spent");
-    const auto once = !route_->repeatable();
-    connection_ = replica_->pool().take(once);
+    const auto nonRepeatable = !route_->repeatable();
+    connection_ = replica_->pool().take(nonRepeatable);
     if (!connection_->usable()) {
         connection_.reset();
         tried_.insert(replica_->id());
-        return again("no connection");
+        return retry("no connection");
     }
     ++sends_;
     sentAt_ = now;
@@ -210,18 +210,18 @@
     auto options = hosting::ForwardOptions { .instance = replica_->id(), .version = version };
     options.timeLeft = std::max(std::chrono::duration_cast<milliseconds>(timeLeft()), milliseconds(1));
     if (replica_->agent())
-        options.priority = std::min(urgency(), leastUrgent);
+        options.priority = std::min(priority(), lowestPriority);
     if (member_)
         options.member = member_->name;
-    if (told_ == Told::Streaming)
-        options.lastEventId = lastEvent_;
+    if (delivered_ == Delivered::Part)
+        options.lastEventId = lastEventId_;
     const auto fields = hosting::forwardedFields(request_, options);
     const auto head = wire::requestHeadText(request_.method, request_.target, fields, request_.body.size());
     replica_->requestSent(facts_.promptTokens);
     if (replica_->agent())
-        replica_->prompts().remember(shared_);
+        replica_->prompts().remember(sharedPrefixes_);
     logDecision("sent", {});
-    armSilence();
+    startSilenceTimer();
     connection_->send(head, request_.body,
         [attempt = facts_.attempt](const wire::HttpResponseHead& answer) {
             return !hosting::readAnswerMetadata(answer, attempt).forOtherAttempt;
@@ -229,37 +229,37 @@
         { .onHead = [this](const wire::HttpResponseHead& answer) { onHead(answer); },
             .onBody = [this](std::string_view bytes) { onBody(bytes); },
             .onDone = [this] { onDone(); },
-            .onFault = [this](LegFault fault) { onFault(fault); } });
+            .onFault = [this](ReplicaFault fault) { onFault(fault); } });
 }
 
 auto RequestRun::mayRunAgain() const -> bool
 {
-    return route_->repeatable() && runs_ < route_->maxRuns && sends_ < mostSends && !gateway_.suspects.refused(digest_)
-        && (told_ == Told::Nothing || (route_->resumable && lastEvent_));
+    return route_->repeatable() && runs_ < route_->maxRuns && sends_ < maxSends && !gateway_.suspects.isBlocked(digest_)
+        && (delivered_ == Delivered::Nothing || (route_->resumable && lastEventId_));
 }
 
-auto RequestRun::again(std::string_view why) -> void
+auto RequestRun::retry(std::string_view why) -> void
 {
     if (runs_ > 0 && !mayRunAgain())
         return giveUp(why);
     if (replica_)
         tried_.insert(replica_->id());
-    // From the loop, not from within a connection's callback.
-    wait_ = gateway_.loop.timers().after(Duration(0), guarded(&RequestRun::place));
+    // Continues from the event loop, as this may run within a connection's callback.
+    waitTimer_ = gateway_.loop.timers().after(Duration(0), guarded(&RequestRun::place));
 }
 
-auto RequestRun::leaveReplica(bool keepConnection, RunEnd end) -> void
+auto RequestRun::releaseReplica(bool keepConnection, RunEnd end) -> void
 {
-    silence_.cancel();
-    if (grantedBy_)
-        grantedBy_->release(facts_.attempt, firstEventSeen_ ? RunEnd::Plain : end);
-    grantedBy_ = nullptr;
+    silenceTimer_.cancel();
+    if (admittingAgent_)
+        admittingAgent_->release(facts_.attempt, firstEventSeen_ ? RunEnd::Plain : end);
+    admittingAgent_ = nullptr;
     if (!connection_)
         return;
     replica_->requestEnded();
     if (!keepConnection)
         connection_->abort();
-    // Handed on from the loop: this may run within the connection's own callback.
+    // Returned to the pool from the event loop, as this may run within the connection's own callback.
     gateway_.deferred.add([held = std::move(connection_), replica = replica_] { replica->pool().giveBack(held); });
     connection_.reset();
 }
@@ -269,30 +269,31 @@
     const auto self = shared_from_this();
     if (connection_) {
         ++runs_;
-        leaveReplica(false, gateway_.now() - sentAt_ > longSilence ? RunEnd::Broke : RunEnd::Plain);
+        releaseReplica(false, gateway_.now() - sentAt_ > failureSilence ? RunEnd::Broke : RunEnd::Plain);
     }
-    if (told_ == Told::Streaming) {
+    if (delivered_ == Delivered::Part) {
         caller_->abort();
         return finish(gatewayTimeout, "broken_off", "time up");
     }
     if (runs_ > 0)
         return fail(gatewayTimeout, "time up");
-    refuse("time up", retryWhenUnknown);
+    refuse("time up", defaultRetryAfter);
 }
 
 auto RequestRun::onCallerGone() -> void
 {
     const auto self = shared_from_this();
     if (connection_)
-        leaveReplica(false);
+        releaseReplica(false);
     finish(0, "caller_gone", {});
 }
 
 auto RequestRun::refuse(std::string_view why, milliseconds retryAfter) -> void
 {
     const auto self = shared_from_this();
-    // A refusal promises that the request has not run; where it may have, or part of its answer is out, that is untrue.
-    if (runs_ > 0 || told_ != Told::Nothing)
+    // A refusal promises that the request has not run, so it is not sent if the request may have run or if part of its
+    // answer has been written.
+    if (runs_ > 0 || delivered_ != Delivered::Nothing)
         return giveUp(why);
     refuseWith(unavailable, why, retryAfter);
 }
@@ -300,7 +301,7 @@
 auto RequestRun::refuseWith(int status, std::string_view why, milliseconds retryAfter) -> void
 {
     const auto self = shared_from_this();
-    told_ = Told::Whole;
+    delivered_ = Delivered::Everything;
     caller_->respond({ status, hosting::ownFields(facts_.attempt, retryAfter) }, {});
     finish(status, "refused", why);
 }
@@ -308,68 +309,70 @@
 auto RequestRun::fail(int status, std::string_view why) -> void
 {
     const auto self = shared_from_this();
-    told_ = Told::Whole;
+    delivered_ = Delivered::Everything;
     caller_->respond({ status, hosting::ownFields(facts_.attempt, std::nullopt) }, {});
     finish(status, "failed", why);
 }
 
-/// Nothing more can be tried: says so, as truly as it is known.
+/// Ends the request when no retry is left. The client gets an aborted stream, a failure if the request may have run,
+/// and a refusal otherwise.
 auto RequestRun::giveUp(std::string_view why) -> void
 {
     const auto self = shared_from_this();
-    if (told_ == Told::Streaming) {
+    if (delivered_ == Delivered::Part) {
         caller_->abort();
         return finish(badGateway, "broken_off", why);
     }
     if (runs_ > 0)
         return fail(badGateway, why);
-    refuse(why, retryWhenUnknown);
+    refuse(why, defaultRetryAfter);
 }
 
 auto RequestRun::finish(int status, std::string_view outcome, std::string_view why) -> void
 {
-    if (std::exchange(over_, true))
+    if (std::exchange(finished_, true))
         return;
-    end_.cancel();
-    silence_.cancel();
-    wait_.cancel();
-    if (grantedBy_)
-        grantedBy_->release(facts_.attempt);
-    grantedBy_ = nullptr;
-    // A refusal promises that it has not run.
+    deadlineTimer_.cancel();
+    silenceTimer_.cancel();
+    waitTimer_.cancel();
+    if (admittingAgent_)
+        admittingAgent_->release(facts_.attempt);
+    admittingAgent_ = nullptr;
+    // A refused request has not run.
     if (charged_ && outcome == "refused")
         gateway_.quotas.giveBack(*charged_);
     const auto now = gateway_.now();
     const auto name = route_ ? route_->name.str() : std::string("none");
-    // A caller that left or was answered is the ordinary case; of everything else no line may be left out.
+    // Every other outcome is logged as a warning, since the logger may drop lines of lower levels.
     const auto ordinary = outcome == "answered" || outcome == "caller_gone";
     (ordinary ? log::info : log::warn)("request over",
         { { "request", facts_.attempt.str() }, { "route", name }, { "outcome", std::string(outcome) },
             { "status", std::to_string(status) }, { "reason", std::string(why) },
             { "member", member_ ? member_->name.str() : "" },
-            { "configuration_age_ms", member_ ? text(gateway_.configuration.age()) : "" },
+            { "configuration_age_ms", member_ ? millisecondsText(gateway_.configuration.age()) : "" },
             { "replica", replica_ ? replica_->id().str() : "" }, { "sends", std::to_string(sends_) },
-            { "runs", std::to_string(runs_) }, { "took_ms", text(now - beganAt_) },
-            { "first_ms", firstAt_ == Moment() ? "" : text(firstAt_ - beganAt_) },
-            { "pause_ms", text(longestPause_) } });
-    // Where nobody is asked for a key the service stands in for the member.
+            { "runs", std::to_string(runs_) }, { "took_ms", millisecondsText(now - beganAt_) },
+            { "first_ms", firstEventAt_ == Moment() ? "" : millisecondsText(firstEventAt_ - beganAt_) },
+            { "pause_ms", millisecondsText(longestPause_) } });
+    // Without keys the metric is counted by service instead of member.
     const auto member = member_ ? member_->name : MemberId(service_.str());
     gateway_.metrics.observe("eelgrass_request_seconds", member, RequestClass(name), now - beganAt_);
     gateway_.metrics.count("eelgrass_requests_total",
         { { "class", name }, { "outcome", std::string(outcome) }, { "status", std::to_string(status) } });
-    // The promise of an admission may be running this very code.
+    // Destroyed from the event loop, as this may run within the promise's own callback.
     gateway_.deferred.add([self = shared_from_this()] { self->admission_ = nullptr; });
 }
 
 auto RequestRun::logDecision(std::string_view event, std::string_view why) const -> void
 {
     const auto* agent = replica_ ? replica_->agent() : nullptr;
-    const auto age
-        = agent && agent->state().receivedAt != Moment() ? text(gateway_.now() - agent->state().receivedAt) : "";
+    const auto age = agent && agent->state().receivedAt != Moment()
+        ? millisecondsText(gateway_.now() - agent->state().receivedAt)
+        : "";
     log::info(event,
         { { "request", facts_.attempt.str() }, { "replica", replica_ ? replica_->id().str() : "" },
             { "adapter", facts_.adapter.str() }, { "reason", std::string(why) }, { "state_age_ms", age },
-            { "left_ms", text(timeLeft()) } });
+            { "left_ms", millisecondsText(timeLeft()) } });
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/RequestRun.h
+++ b/packages/serving/RequestRun.h
@@ -14,83 +14,89 @@
 
 namespace eelgrass::serving {
 
-/// One attempt of a client, from its whole request to the end of its answer: route, place, admit, send, relay, and what
-/// may still be tried when something fails.
+/// Handles one attempt of a client, from the complete request to the end of its answer: routing, replica choice,
+/// admission, sending, relaying the answer, and retries after failures.
 ///
-/// It keeps itself alive by the callbacks it has registered, and ends by dropping them.
+/// Registered callbacks hold references to the object, which is destroyed once the last of them is dropped.
 class RequestRun : public std::enable_shared_from_this<RequestRun> {
 public:
     RequestRun(GatewayContext& gateway, std::shared_ptr<CallerExchange> caller, wire::HttpRequestMessage request);
     auto start() -> void;
 
 private:
-    /// What of the answer the client has.
-    enum class Told { Nothing, Streaming, Whole };
+    /// How much of the answer has been written to the client.
+    enum class Delivered { Nothing, Part, Everything };
 
-    // The way to a replica.
+    // Steps before the request is sent.
     [[nodiscard]] auto readRequest() -> bool;
-    /// Who asks, by the key; false when the request is over, since nobody may or it cannot be told.
+    /// Identifies the member by the request's key. Returns false if the request was rejected, because the key is
+    /// unknown or the configuration is too old to check it.
     [[nodiscard]] auto authenticate() -> bool;
-    /// Whether the key may still be used, by what is known now; asked before each send.
-    [[nodiscard]] auto keyHolds() -> bool;
+    /// Checks the key against the current configuration before each send. Returns false if the request was rejected.
+    [[nodiscard]] auto keyStillValid() -> bool;
     auto takeQuota() -> void;
-    auto quotaAnswered(const QuotaCharge& charge, const QuotaDecision& verdict) -> void;
-    [[nodiscard]] auto urgency() const -> std::uint32_t;
+    auto onQuotaVerdict(const QuotaCharge& charge, const QuotaDecision& verdict) -> void;
+    [[nodiscard]] auto priority() const -> std::uint32_t;
     auto place() -> void;
-    auto approach() -> void;
+    auto proceedAtReplica() -> void;
     /// Opens the session with the chosen replica's agent before asking for admission.
     auto openSession() -> void;
     auto sessionOpened() -> void;
     auto sessionFailed() -> void;
     struct Choice {
         ReplicaPtr replica;
-        /// When it would begin there, as far as is known here.
+        /// Expected wait until the request starts there, from the figures that this entry has.
         Duration start {};
     };
-    [[nodiscard]] auto choose() -> std::optional<Choice>;
-    /// Whether it may get this request at all, and whether it may and was not found to be late.
-    [[nodiscard]] auto mayTake(const Replica& replica, Moment now) const -> bool;
-    [[nodiscard]] auto mayTry(const Replica& replica, Moment now) const -> bool;
+    [[nodiscard]] auto chooseReplica() -> std::optional<Choice>;
+    /// Whether the replica can take this request: it is usable and has not been tried.
+    [[nodiscard]] auto isEligible(const Replica& replica, Moment now) const -> bool;
+    /// Whether the replica is eligible and has not answered that the request would start late there.
+    [[nodiscard]] auto isCandidate(const Replica& replica, Moment now) const -> bool;
     [[nodiscard]] auto viewOf(const ReplicaPtr& replica, Duration fastest, double readRate) const
         -> decisions::ReplicaView;
     auto waitForPlace() -> void;
     auto admit() -> void;
-    auto admitted(const AdmitResult& result) -> void;
-    /// It would be late at the replica that was asked: goes where it begins sooner, if there is such a one.
-    auto lateThere(const AdmitResult& result) -> void;
+    auto onAdmitResult(const AdmitResult& result) -> void;
+    /// The replica answered that the request would start late there: moves it to one where it starts sooner, if any.
+    auto onLateRefusal(const AdmitResult& result) -> void;
     auto checkAgent() -> void;
     auto abandonAdmission(std::string_view why) -> void;
     auto send(std::optional<AdapterVersion> version) -> void;
 
-    // What comes back.
+    // The replica's answer.
     auto onHead(const wire::HttpResponseHead& head) -> void;
     auto onBody(std::string_view bytes) -> void;
     auto onEvents(std::string_view bytes) -> void;
-    auto tellEvent(const StreamEvent& event) -> bool;
+    auto forwardEvent(const StreamEvent& event) -> bool;
     auto onDone() -> void;
-    auto onFault(LegFault fault) -> void;
+    auto onFault(ReplicaFault fault) -> void;
     auto onNotRun(std::string_view why) -> void;
     auto onSilence() -> void;
-    auto armSilence() -> void;
+    auto startSilenceTimer() -> void;
 
-    // What may still be tried.
+    // Retries.
     [[nodiscard]] auto mayRunAgain() const -> bool;
-    auto again(std::string_view why) -> void;
-    auto leaveReplica(bool keepConnection, RunEnd end = RunEnd::Plain) -> void;
+    auto retry(std::string_view why) -> void;
+    auto releaseReplica(bool keepConnection, RunEnd end = RunEnd::Plain) -> void;
 
-    // The end.
+    // Ending the request.
     auto onTimeUp() -> void;
     auto onCallerGone() -> void;
     auto refuse(std::string_view why, milliseconds retryAfter) -> void;
     auto refuseWith(int status, std::string_view why, milliseconds retryAfter) -> void;
     auto fail(int status, std::string_view why) -> void;
     auto giveUp(std::string_view why) -> void;
+    /// Releases what the request holds, and logs and counts its outcome. `status` is 0 if the client got none.
     auto finish(int status, std::string_view outcome, std::string_view why) -> void;
     auto logDecision(std::string_view event, std::string_view why) const -> void;
     [[nodiscard]] auto timeLeft() const -> Duration;
-    [[nodiscard]] auto sharedTokens() const -> Tokens { return shared_.empty() ? 0 : shared_.back().tokens; }
+    [[nodiscard]] auto sharedTokens() const -> Tokens
+    {
+        return sharedPrefixes_.empty() ? 0 : sharedPrefixes_.back().tokens;
+    }
     [[nodiscard]] auto zonePenalty() const -> Duration;
-    /// A timer's callback that holds the run while it is at work, since its last answer may let go of it.
+    /// Timer callback that keeps this object alive while it runs: finishing the request may drop the last reference.
     [[nodiscard]] auto guarded(void (RequestRun::*step)()) -> std::function<void()>;
 
     GatewayContext& gateway_;
@@ -99,54 +105,55 @@
     RequestMetadata facts_;
     std::shared_ptr<const ServingConfiguration> configuration_;
     const RouteRecord* route_ = nullptr;
-    /// Who asks; null where nobody is asked for a key.
+    /// The member that sent the request; null where no key is required.
     const MemberRecord* member_ = nullptr;
-    /// What was counted against the member's quota.
+    /// The charge granted against the member's quota.
     std::optional<QuotaCharge> charged_;
     ServiceName service_;
     Moment beganAt_ {};
     Moment lateAt_ {};
     Moment endAt_ {};
-    /// When a client that has seen no event of its stream leaves.
-    Moment firstBy_ {};
-    /// Names what would run, and for whom, through whichever entry it comes.
+    /// When a client that has received no event of its stream is assumed to disconnect.
+    Moment firstEventBy_ {};
+    /// Identifies what would run and for which member; the same at every entry.
     std::string digest_;
-    /// The parts of the prompt that others share, from the first up to each of them.
-    std::vector<decisions::SharedPrefix> shared_;
+    /// Prefixes of the prompt that other requests may share, each ending with one more part.
+    std::vector<decisions::SharedPrefix> sharedPrefixes_;
 
     ReplicaPtr replica_;
     std::set<InstanceId> tried_;
-    /// Replicas at which it would be late, and the one of them at which it would begin first.
-    std::set<InstanceId> late_;
-    std::uint32_t sentOn_ = 0;
-    ReplicaPtr soonest_;
+    /// Replicas that answered that the request would start late there. `soonestReplica_` is the one of them with the
+    /// earliest start.
+    std::set<InstanceId> lateReplicas_;
+    std::uint32_t lateRedirects_ = 0;
+    ReplicaPtr soonestReplica_;
     Moment soonestStart_ {};
     kj::Maybe<kj::Promise<void>> admission_;
-    /// Counts admissions asked for, so that the answer to an abandoned one is told apart.
-    std::uint32_t admissions_ = 0;
-    AgentLink* grantedBy_ = nullptr;
-    /// When the admission under way was asked for.
-    Moment askedAt_ {};
+    /// Number of admissions requested so far; an answer with an older number belongs to an abandoned admission.
+    std::uint32_t admissionCount_ = 0;
+    AgentLink* admittingAgent_ = nullptr;
+    /// When the pending admission was requested.
+    Moment admissionAskedAt_ {};
     std::shared_ptr<ReplicaConnection> connection_;
     wire::HttpResponseHead head_;
     std::string body_;
     EventSplitter events_;
-    std::optional<std::uint64_t> lastEvent_;
+    std::optional<std::uint64_t> lastEventId_;
     bool streaming_ = false;
     bool firstEventSeen_ = false;
     std::uint32_t sends_ = 0;
     /// Sends after which the replica may have run the request.
     std::uint32_t runs_ = 0;
     Moment sentAt_ {};
-    Moment firstAt_ {};
-    Moment lastTold_ {};
-    /// Between two events of the stream.
+    Moment firstEventAt_ {};
+    Moment lastForwardedAt_ {};
+    /// Longest time between two events of the stream.
     Duration longestPause_ {};
-    Told told_ = Told::Nothing;
-    bool over_ = false;
-    Timer end_;
-    Timer silence_;
-    Timer wait_;
+    Delivered delivered_ = Delivered::Nothing;
+    bool finished_ = false;
+    Timer deadlineTimer_;
+    Timer silenceTimer_;
+    Timer waitTimer_;
 };
 
 } // namespace eelgrass::serving
--- a/packages/serving/RouteTable.h
+++ b/packages/serving/RouteTable.h
@@ -9,22 +9,23 @@
 
 namespace eelgrass::serving {
 
-/// Finds the route of a request: of its host, the longest prefix that begins the path.
+/// Finds the route of a request by its host and the longest matching path prefix.
 class RouteTable {
 public:
     RouteTable() = default;
     /// `configuration` must outlive the table.
     explicit RouteTable(const ServingConfiguration& configuration);
 
-    /// Null when no route matches. A port behind the host's name does not count.
+    /// The route; null if none matches. A port in `host` is ignored.
     [[nodiscard]] auto find(std::string_view host, std::string_view path) const -> const RouteRecord*;
 
 private:
-    /// By host, then by prefix; a path of n segments costs n look-ups however many routes there are.
+    /// By host, then by prefix. A path of n segments takes n lookups, whatever the number of routes.
     std::unordered_map<std::string, std::unordered_map<std::string, const RouteRecord*>> hosts_;
 };
 
-/// The service that takes a request, by the weights of the route's shares; one attempt always gets the same.
+/// Chooses a service by the weights of the route's shares. The choice depends only on the attempt's id, so retries get
+/// the same service.
 [[nodiscard]] auto pickService(const RouteRecord& route, const AttemptId& attempt) -> const ServiceName&;
 
 } // namespace eelgrass::serving
--- a/packages/serving/SuspectRequests.cpp
+++ b/packages/serving/SuspectRequests.cpp
@@ -24,7 +24,7 @@
     return std::to_string(hash);
 }
 
-auto SuspectRequests::agentFor(const std::string& digest) const -> AgentLink*
+auto SuspectRequests::countingAgentFor(const std::string& digest) const -> AgentLink*
 {
     auto first = decisions::FirstByRendezvous<AgentLink*>(hashed(0, digest), 1);
     for (const auto& [instance, replica] : directory_.all()) {
@@ -36,23 +36,23 @@
     return agents.empty() ? nullptr : agents.front();
 }
 
-auto SuspectRequests::broke(const std::string& digest) -> void
+auto SuspectRequests::recordBreak(const std::string& digest) -> void
 {
-    own_.crashed(digest, own_.crashes(digest));
-    if (auto* agent = agentFor(digest))
+    ownCounts_.crashed(digest, ownCounts_.crashes(digest));
+    if (auto* agent = countingAgentFor(digest))
         agent->reportSuspect(digest, true);
 }
 
-auto SuspectRequests::succeeded(const std::string& digest) -> void
+auto SuspectRequests::recordSuccess(const std::string& digest) -> void
 {
-    if (own_.crashes(digest) == 0)
+    if (ownCounts_.crashes(digest) == 0)
         return;
-    own_.succeeded(digest);
-    if (auto* agent = agentFor(digest))
+    ownCounts_.succeeded(digest);
+    if (auto* agent = countingAgentFor(digest))
         agent->reportSuspect(digest, false);
 }
 
-auto SuspectRequests::refused(const std::string& digest) const -> bool
+auto SuspectRequests::isBlocked(const std::string& digest) const -> bool
 {
     auto breaks = std::uint32_t(0);
     for (const auto& [instance, replica] : directory_.all()) {
@@ -62,7 +62,7 @@
         const auto found = suspects.find(digest);
         breaks += found == suspects.end() ? 0 : found->second;
     }
-    return std::max(breaks, own_.crashes(digest)) >= limit;
+    return std::max(breaks, ownCounts_.crashes(digest)) >= limit;
 }
 
 } // namespace eelgrass::serving
--- a/packages/serving/SuspectRequests.h
+++ b/packages/serving/SuspectRequests.h
@@ -8,14 +8,15 @@
 
 namespace eelgrass::serving {
 
-/// Requests that break off wherever they run, as this entry and its peers have seen.
+/// Detects requests that repeatedly break off at replicas, as seen by all entries.
 ///
-/// A request may crash each replica that begins to run it, and its caller sends it again, at any entry. Each break is
-/// told to one agent, the same for all entries, and comes back with its state, so that the entries count together. A
-/// request that runs to its end is cleared; three breaks with no success between them are no bad luck.
+/// A request may crash every replica that runs it, and its client may send it again at any entry. Each break is
+/// reported to one agent, the same for all entries, and returned in that agent's state, so that the entries share the
+/// count. A successful run resets the count. After three breaks without a success in between, the request itself is
+/// taken to be the cause.
 class SuspectRequests {
 public:
-    /// Breaks after which a request is not sent any more.
+    /// Number of breaks after which a request is blocked.
     static constexpr auto limit = std::uint32_t(3);
 
     explicit SuspectRequests(const ReplicaDirectory& directory)
@@ -23,18 +24,18 @@
     {
     }
 
-    auto broke(const std::string& digest) -> void;
-    auto succeeded(const std::string& digest) -> void;
-    [[nodiscard]] auto refused(const std::string& digest) const -> bool;
+    auto recordBreak(const std::string& digest) -> void;
+    auto recordSuccess(const std::string& digest) -> void;
+    [[nodiscard]] auto isBlocked(const std::string& digest) const -> bool;
 
 private:
-    [[nodiscard]] auto agentFor(const std::string& digest) const -> AgentLink*;
+    [[nodiscard]] auto countingAgentFor(const std::string& digest) const -> AgentLink*;
 
     const ReplicaDirectory& directory_;
-    decisions::Quarantine own_;
+    decisions::Quarantine ownCounts_;
 };
 
-/// Names a request by what a replica would run, and for whom: method, target, model, body and member.
+/// Hash of what a replica would run and for which member: method, target, model, adapter, body and member.
 [[nodiscard]] auto digestOf(
     const wire::HttpRequestMessage& request, const RequestMetadata& facts, const MemberId& member) -> std::string;
 
--- a/packages/serving/detail/OneWayCall.h
+++ b/packages/serving/detail/OneWayCall.h
@@ -4,8 +4,8 @@
 
 namespace eelgrass::serving::detail {
 
-/// Sends a call whose answer says nothing. A failure means that the session is lost, which the session's own end tells
-/// and logs; both sides then drop or repeat what they told each other.
+/// Sends a call whose result is empty. Errors are ignored: a call fails only when the session is lost, which the
+/// session reports and logs itself; both sides then drop or resend their state.
 template <typename Call> auto sendOneWay(wire::MainLoop& loop, Call&& call) -> void
 {
     loop.spawn(call.send().ignoreResult().catch_([](kj::Exception&&) {}));
--- a/packages/serving/detail/RunLimits.h
+++ b/packages/serving/detail/RunLimits.h
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cstddef>
 
-/// Limits of a request's run: how often, how long, how much.
+/// Limits on the attempts, times and buffers of a request.
 namespace eelgrass::serving::detail {
 
 inline constexpr auto ok = 200;
@@ -19,46 +19,49 @@
 inline constexpr auto gatewayTimeout = 504;
 inline constexpr auto firstServerError = 500;
 
-// The last of the priorities that a replica is told.
-inline constexpr auto leastUrgent = 9U;
-// Sends of one attempt in all; refusals of replicas count. A third refusal tells that the service is full.
-inline constexpr auto mostSends = 4U;
-// Replicas that may send a request on because it would be late there; each costs the way there and back, and where all
-// are late nothing is found by asking more.
-inline constexpr auto mostSentOn = 2U;
-// The answer must be on its way to the client before the client leaves.
+// Highest priority number that a replica is sent; 0 is the most urgent.
+inline constexpr auto lowestPriority = 9U;
+// Sends of one attempt, including those that a replica refused. After a third refusal the service is taken to be full.
+inline constexpr auto maxSends = 4U;
+// Replicas that may turn a request away because it would start late there. Each costs a round trip, and if all are
+// late, asking more of them does not help.
+inline constexpr auto maxLateRedirects = 2U;
+// Time reserved so that the answer reaches the client before its deadline.
 inline constexpr auto answerMargin = Duration(40ms);
-// A request is not sent with less than this left: the way there and back within a zone, and the least work.
-inline constexpr auto leastTime = Duration(10ms);
-// A process that has just started knows the configuration some ten milliseconds later; a caller that was refused would
-// come back much later than that.
+// A request is not sent with less time left than this: a round trip within a zone and the shortest run.
+inline constexpr auto minTimeToSend = Duration(10ms);
+// A process that has just started gets the configuration within some tens of milliseconds; a refused client would retry
+// much later than that.
 inline constexpr auto configurationWait = Duration(250ms);
-// When no replica can be tried just now: one rests, or its agent is being reached.
-inline constexpr auto placeAgain = Duration(25ms);
-// For opening a session with an agent: usually a few milliseconds, some hundred on a slow host.
+// Delay before the next choice when no replica can be tried, for example because it is resting after failures or its
+// agent is being connected.
+inline constexpr auto placementRetryDelay = Duration(25ms);
+// Opening a session with an agent usually takes a few milliseconds, and a few hundred on a slow host.
 inline constexpr auto sessionOpenLimit = Duration(400ms);
-// An agent that says nothing is looked at this often.
-inline constexpr auto agentCheck = Duration(250ms);
-// A stream that may go on elsewhere is left after this silence; well before its client leaves, which takes two seconds.
-inline constexpr auto streamSilence = Duration(1200ms);
-// A replica that has not begun to answer after this long, when the time is up, counts as failed: reading takes under a
-// second.
-inline constexpr auto longSilence = Duration(1500ms);
-// Told to a caller when nothing is known of when to come back: a replica is back, or a place free, by then in most
-// cases.
-inline constexpr auto retryWhenUnknown = std::chrono::milliseconds(300);
-// Bytes that a slow client may leave waiting before its replica is no longer read.
-inline constexpr auto mostBacklog = std::size_t(256) << 10U;
-// A slow replica counts as at most this much slower, so that it is tried again and can show that it has recovered.
-inline constexpr auto slowestFactor = 8.0;
+// How often a pending admission checks that its agent still responds.
+inline constexpr auto agentCheckInterval = Duration(250ms);
+// A stream that can be resumed is moved to another replica after this silence, well before its client gives up, which
+// takes at least two seconds.
+inline constexpr auto streamSilenceLimit = Duration(1200ms);
+// A replica that has not begun to answer after this time when the request's deadline passes counts as failed: prefill
+// takes less than a second.
+inline constexpr auto failureSilence = Duration(1500ms);
+// Retry-After for clients when there is no estimate; by then a replica has usually recovered or has a free slot.
+inline constexpr auto defaultRetryAfter = std::chrono::milliseconds(300);
+// Bytes buffered for a slow client before reading from its replica pauses.
+inline constexpr auto maxBacklog = std::size_t(256) << 10U;
+// Upper bound on the slowness factor of a replica, so that a slow replica is still tried and can show that it has
+// recovered.
+inline constexpr auto maxSlowness = 8.0;
 
-/// How long the users' clients wait for a stream's next event, whatever their deadline.
-[[nodiscard]] inline auto patience(const RouteRecord& route) -> Duration
+/// How long clients wait for a stream's next event, whatever their deadline.
+[[nodiscard]] inline auto clientEventTimeout(const RouteRecord& route) -> Duration
 {
-    constexpr auto least = Duration(2s);
-    constexpr auto aims = 4;
-    constexpr auto pauses = 8;
-    return std::max({ least, aims * Duration(route.latencyTarget), pauses * Duration(route.eventGapTarget) })
+    constexpr auto minimum = Duration(2s);
+    constexpr auto aimFactor = 4;
+    constexpr auto pauseFactor = 8;
+    return std::max(
+               { minimum, aimFactor * Duration(route.latencyTarget), pauseFactor * Duration(route.eventGapTarget) })
         - answerMargin;
 }
 
--- a/packages/serving/detail/SlotNames.h
+++ b/packages/serving/detail/SlotNames.h
@@ -4,7 +4,7 @@
 
 namespace eelgrass::serving::detail {
 
-/// An adapter as the slots of its replica name it.
+/// Name under which the slots of a replica list the adapter.
 [[nodiscard]] inline auto modelName(const AdapterName& adapter) -> ModelName { return ModelName(adapter.str()); }
 
 } // namespace eelgrass::serving::detail
--- a/tests/integration/CallerExchange.cpp
+++ b/tests/integration/CallerExchange.cpp
@@ -1,4 +1,4 @@
-// Answers and the requests that they belong to, on one connection of a client.
+// Matching of answers to requests on one client connection.
 #include "serving/CallerExchange.h"
 
 #include "wire/MainLoop.h"
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// One connection of a client; the requests that came are answered by the test.
+/// A client connection whose requests are answered by the test.
 struct Client {
     Client()
     {
@@ -56,7 +56,7 @@
         while (exchanges.size() == before)
             loop.wait(loop.sleep(1ms));
     }
-    /// What has come since the last look. Loopback delivers in order and at once, so a late answer would be in it.
+    /// Bytes received since the last call. Loopback delivers at once and in order, so a late answer would be included.
     [[nodiscard]] auto received() const -> std::string
     {
         auto buffer = std::array<char, 4096>();
@@ -77,9 +77,9 @@
 
 } // namespace
 
-// The client takes the late word on its first request for the answer to its second.
-// 1. A request is answered, as when its time is up. 2. The next one comes on the same connection. 3. Something that the
-// first one's run had begun fails, and the run answers again.
+// Guards against a client that takes a late answer to its first request for the answer to its second. The first request
+// is answered, as when its deadline passes, and the next one arrives on the same connection. Then an operation of the
+// first request fails, and its handler answers again.
 BOOST_AUTO_TEST_CASE(a_second_answer_does_not_reach_the_next_request)
 {
     auto client = Client();
@@ -94,7 +94,7 @@
     BOOST_TEST(client.misuses == 1);
 }
 
-// The client gets a 200 although it has asked for nothing: the same with no second request.
+// The same without a second request: the client would get a 200 that it never requested.
 BOOST_AUTO_TEST_CASE(a_second_answer_does_not_reach_an_idle_connection)
 {
     auto client = Client();
@@ -108,8 +108,8 @@
     BOOST_TEST(client.misuses == 3);
 }
 
-// The client's next request is cut off for what became of the one before.
-BOOST_AUTO_TEST_CASE(an_exchange_that_is_used_up_breaks_nothing_off)
+// Guards against a finished request that aborts the next one on its connection.
+BOOST_AUTO_TEST_CASE(closed_exchange_does_not_abort_the_next_request)
 {
     auto client = Client();
     client.ask("/one");
@@ -121,8 +121,8 @@
     BOOST_TEST(client.received().ends_with("second"));
 }
 
-// A whole answer behind half of a streamed one would look like one answer: the connection is closed in its place.
-BOOST_AUTO_TEST_CASE(a_streamed_answer_is_not_followed_by_a_whole_one)
+// A complete answer after a partial stream could look like one answer, so the connection is closed instead.
+BOOST_AUTO_TEST_CASE(complete_answer_after_a_partial_stream_closes_the_connection)
 {
     auto client = Client();
     client.ask("/one");
@@ -134,8 +134,8 @@
     BOOST_TEST(client.misuses == 1);
 }
 
-// The client leaves while its request runs; whatever is written for it afterwards goes nowhere.
-BOOST_AUTO_TEST_CASE(a_client_that_left_uses_its_exchange_up)
+// The client disconnects while its request runs; anything written afterwards is discarded.
+BOOST_AUTO_TEST_CASE(client_disconnect_closes_the_exchange)
 {
     auto client = Client();
     client.ask("/one");
--- a/tests/integration/ManyAgents.cpp
+++ b/tests/integration/ManyAgents.cpp
@@ -80,8 +80,8 @@
     BOOST_TEST(same >= adapters - 1);
 }
 
-// Guards against losing a request when the agent that would admit it has stopped.
-// 1. A request opens a session with an agent. 2. That agent stops. 3. A second request asks for the same adapter.
+// Guards against losing a request when the agent that would admit it has stopped. The first request opens a session
+// with an agent, which then stops, and a second request asks for the same adapter.
 BOOST_AUTO_TEST_CASE(a_request_succeeds_when_its_agent_has_stopped)
 {
     auto fleet = Fleet(1);
--- a/tests/integration/ServingCalls.cpp
+++ b/tests/integration/ServingCalls.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_plain_call_is_answered_with_the_replicas_own_bytes)
+BOOST_AUTO_TEST_CASE(plain_call_returns_the_replicas_body)
 {
     auto world = ServingWorld(0, 2);
     world.startGateway();
@@ -34,7 +34,7 @@
     BOOST_TEST(runsInAll(world) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_no_route_takes_is_not_found)
+BOOST_AUTO_TEST_CASE(request_without_a_route_gets_404)
 {
     auto world = ServingWorld(0, 2);
     world.startGateway();
@@ -42,10 +42,9 @@
     BOOST_TEST(runsInAll(world) == 0U);
 }
 
-// The caller gets its answer, though the first replica turned the request away.
-// 1. A full replica answers 503 and marks the request as not run. 2. So even a request that must run once may go to the
-// other one. 3. Without the mark it must not: see the next test.
-BOOST_AUTO_TEST_CASE(a_request_that_was_not_run_goes_to_another_replica)
+// A full replica answers 503 and marks the request as not run, so even a request that must run only once may be sent to
+// the other replica. The next test covers a 503 without the mark.
+BOOST_AUTO_TEST_CASE(request_marked_not_run_is_retried_at_another_replica)
 {
     auto world = ServingWorld(0, 2);
     world.startGateway();
@@ -56,10 +55,9 @@
     BOOST_TEST(world.plain(1).runs().size() == 4U);
 }
 
-// The caller sees a failure that promises nothing.
-// 1. A replica runs a request that must run once and answers 503, without the mark. 2. Passed on, that status would
-// tell the caller that it may send the request again, and it would run twice.
-BOOST_AUTO_TEST_CASE(a_503_without_its_mark_is_not_passed_on)
+// Guards against running a request twice. A replica runs a request that must run only once and answers 503 without the
+// mark. If that status were forwarded, the client could send the request again.
+BOOST_AUTO_TEST_CASE(unmarked_503_is_not_forwarded)
 {
     auto world = ServingWorld(0, 2);
     world.startGateway();
@@ -68,10 +66,9 @@
     BOOST_TEST(runsInAll(world) == 1U);
 }
 
-// The caller gets the answer to its own request.
-// 1. A replica sends an extra answer, to somebody else's request, before the right one. 2. Taken for ours, it would
-// hand one member's figures to another. 3. It names another attempt, so it is read past.
-BOOST_AUTO_TEST_CASE(an_answer_to_another_request_is_read_past)
+// Guards against handing one member's answer to another. The replica sends an answer to a different request before the
+// right one; it names another attempt and is skipped.
+BOOST_AUTO_TEST_CASE(answer_to_another_request_is_skipped)
 {
     auto world = ServingWorld(0, 2);
     world.startGateway();
@@ -81,7 +78,7 @@
     BOOST_TEST(answer.body.starts_with("body-of-plain-"));
 }
 
-// An idempotent call that a replica fails is answered by another one; the replica's own failure is the last word only
+// An idempotent call that fails at one replica is answered by another one. A replica's own failure is returned only
 // when both failed.
 BOOST_AUTO_TEST_CASE(an_idempotent_call_is_tried_at_a_second_replica)
 {
@@ -107,10 +104,9 @@
     BOOST_TEST(world.until([&] { return gateway.ready(); }));
 }
 
-// Callers of a gateway that starts while the store is away are served.
-// 1. The store turns a host away. 2. A gateway starts there and knows nothing. 3. Another entry, named in its settings,
-// tells it the configuration and the replicas.
-BOOST_AUTO_TEST_CASE(a_gateway_that_starts_in_an_outage_asks_its_peers)
+// Guards against an outage of the store keeping new gateways from serving. A gateway that starts while the store
+// refuses it gets the configuration and the replicas from another entry, named in its settings.
+BOOST_AUTO_TEST_CASE(gateway_started_during_a_store_outage_asks_its_peers)
 {
     auto world = ServingWorld(0, 1);
     world.startGateway();
@@ -119,8 +115,8 @@
     BOOST_TEST(world.until([&] { return second.ready(); }));
 }
 
-// A newer configuration is in force at once, and an older one never again.
-BOOST_AUTO_TEST_CASE(a_configuration_only_rises)
+// A newer configuration comes into force, and an older one is ignored afterwards.
+BOOST_AUTO_TEST_CASE(older_configuration_is_ignored)
 {
     auto world = ServingWorld(1, 2);
     world.startGateway();
--- a/tests/integration/ServingMembers.cpp
+++ b/tests/integration/ServingMembers.cpp
@@ -1,4 +1,4 @@
-// Who asks, by its key, and what each may have.
+// API keys and member quotas.
 #include "platform/Names.h"
 #include "tests/harness/ServingWorld.h"
 
@@ -13,8 +13,8 @@
 
 using Json = nlohmann::json;
 
-constexpr auto armorsKey = "key-of-armor";
-constexpr auto othersKey = "key-of-another";
+constexpr auto armorKey = "key-of-armor";
+constexpr auto otherKey = "key-of-another";
 
 auto member(const std::string& name, const std::string& key) -> Json
 {
@@ -26,7 +26,7 @@
     explicit Members(std::size_t engines = 0)
         : world(engines, 1)
     {
-        configure(2, { member("armor", armorsKey), member("another", othersKey) });
+        configure(2, { member("armor", armorKey), member("another", otherKey) });
     }
     auto configure(std::uint64_t version, const Json& list) -> void
     {
@@ -57,12 +57,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_key_tells_the_member_and_goes_no_further)
+BOOST_AUTO_TEST_CASE(key_identifies_the_member_and_is_not_forwarded)
 {
     auto members = Members(1);
     members.world.startGateway();
-    BOOST_TEST(members.ask(armorsKey).status == 200);
-    BOOST_TEST(members.ask(othersKey, "a2", "/resumable/x").status == 200);
+    BOOST_TEST(members.ask(armorKey).status == 200);
+    BOOST_TEST(members.ask(otherKey, "a2", "/resumable/x").status == 200);
     BOOST_REQUIRE(members.world.plain(0).runs().size() == 1U);
     BOOST_REQUIRE(members.world.engine(0).runs().size() == 1U);
     const auto& plain = members.world.plain(0).runs()[0].fields;
@@ -74,14 +74,13 @@
     BOOST_TEST(engine.get(names::priority) == "2");
 }
 
-// A caller is taken for another member.
-// 1. It names that member itself, beside its own key. 2. What it says of itself is dropped.
-BOOST_AUTO_TEST_CASE(nobody_names_its_member_itself)
+// Guards against a client that impersonates a member: a member header sent by the client is dropped.
+BOOST_AUTO_TEST_CASE(client_cannot_choose_its_member)
 {
     auto members = Members();
     members.world.startGateway();
     auto request = ServingWorld::Request { .path = "/once/x" };
-    request.more.add(names::apiKey, armorsKey);
+    request.more.add(names::apiKey, armorKey);
     request.more.add(names::member, "another");
     BOOST_TEST(members.world.ask(request).status == 200);
     request.more.remove(names::apiKey);
@@ -94,7 +93,7 @@
     BOOST_TEST(runs[1].fields.count(names::member) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_known_key_nothing_runs_but_what_is_open)
+BOOST_AUTO_TEST_CASE(unknown_key_is_rejected_except_on_open_routes)
 {
     auto members = Members();
     members.world.startGateway();
@@ -102,73 +101,70 @@
     BOOST_TEST(members.ask("key-of-nobody").status == 401);
     BOOST_TEST(members.ask(std::string(3000, 'k')).status == 401);
     auto twice = ServingWorld::Request { .path = "/once/x" };
-    twice.more.add(names::apiKey, armorsKey);
-    twice.more.add(names::apiKey, othersKey);
+    twice.more.add(names::apiKey, armorKey);
+    twice.more.add(names::apiKey, otherKey);
     BOOST_TEST(members.world.ask(twice).status == 401);
     BOOST_TEST(members.world.plain(0).runs().empty());
     BOOST_TEST(members.ask("", "a5", "/safe/x").status == 200);
     BOOST_TEST(members.ask("key-of-nobody", "a6", "/safe/x").status == 200);
 }
 
-// An entry that knows nothing yet says so: a caller that hears that its key is wrong does not come back.
-BOOST_AUTO_TEST_CASE(an_entry_without_a_configuration_refuses_nobodys_key)
+// An entry without a configuration answers 503, not 401: a client whose key is rejected does not retry.
+BOOST_AUTO_TEST_CASE(entry_without_a_configuration_rejects_no_key)
 {
     auto members = Members();
     members.world.store().refuseWith(503);
     members.world.startGateway(false);
-    BOOST_TEST(members.ask(armorsKey).status == 503);
+    BOOST_TEST(members.ask(armorKey).status == 503);
 }
 
-// A member that has left goes on being served.
-// 1. A request with a key waits for an adapter that comes late. 2. The key is taken away. 3. The request is granted.
-// 4. It is not sent: what was true when it came does not count.
-BOOST_AUTO_TEST_CASE(a_key_is_looked_at_again_before_the_request_is_sent)
+// Guards against serving a member whose key was removed while its request waited for admission. The request waits for
+// an adapter that loads slowly, the key is removed, and the request is admitted; it must not be sent.
+BOOST_AUTO_TEST_CASE(key_is_checked_again_before_sending)
 {
     auto members = Members(1);
     members.world.startGateway();
     auto& engine = members.world.engine(0);
     engine.behave({ .status = 503, .notRun = true });
     auto request = ServingWorld::Request { .path = "/resumable/x", .attempt = "waits" };
-    request.more.add(names::apiKey, armorsKey);
+    request.more.add(names::apiKey, armorKey);
     auto waiting = members.world.begin(request);
     BOOST_REQUIRE(members.world.until([&] { return !engine.orders().empty(); }));
-    members.configure(3, Json::array({ member("another", othersKey) }));
+    members.configure(3, Json::array({ member("another", otherKey) }));
     BOOST_REQUIRE(members.inForce(3));
     const auto status = members.world.loop().wait(kj::mv(waiting)).status;
     BOOST_TEST((status == 401 || status == 503));
     BOOST_TEST(engine.runs().empty());
-    BOOST_TEST(members.ask(armorsKey, "a2").status == 401);
-    BOOST_TEST(members.ask(othersKey, "a3").status == 200);
+    BOOST_TEST(members.ask(armorKey, "a2").status == 401);
+    BOOST_TEST(members.ask(otherKey, "a3").status == 200);
 }
 
-// A key is used that was taken away while nobody could tell.
-// 1. The store does not answer any more. 2. After the bound no request with a key is sent, and the entry is not ready.
-// 3. The store answers again, and requests are served.
-BOOST_AUTO_TEST_CASE(an_entry_that_hears_nothing_uses_no_key)
+// Guards against accepting a key that may have been removed while the store was unreachable. After the bound for keys
+// no request with a key is sent and the entry is not ready. Once the store answers again, requests are served.
+BOOST_AUTO_TEST_CASE(entry_cut_off_from_the_store_accepts_no_key)
 {
     auto members = Members();
     members.world.settings().keyBound = std::chrono::milliseconds(1500);
     auto& gateway = members.world.startGateway();
-    BOOST_REQUIRE(members.ask(armorsKey).status == 200);
+    BOOST_REQUIRE(members.ask(armorKey).status == 200);
     members.world.store().refuseWith(503);
-    BOOST_REQUIRE(members.world.until([&] { return !gateway.configuration().keysHold(); }));
+    BOOST_REQUIRE(members.world.until([&] { return !gateway.configuration().keysUsable(); }));
     BOOST_TEST(!gateway.ready());
-    const auto answer = members.ask(armorsKey, "a2");
+    const auto answer = members.ask(armorKey, "a2");
     BOOST_TEST(answer.status == 503);
     BOOST_TEST(!answer.fields.get(names::retryAfter).empty());
-    // Nothing is said against a key that is not known either.
+    // An unknown key is not rejected either: it may be in a newer configuration.
     BOOST_TEST(members.ask("key-of-nobody", "a3").status == 503);
     BOOST_TEST(members.ask("", "a4", "/safe/x").status == 200);
     BOOST_TEST(members.world.plain(0).runs().size() == 2U);
     members.world.store().refuseWith(0);
     BOOST_REQUIRE(members.world.until([&] { return gateway.ready(); }));
-    BOOST_TEST(members.ask(armorsKey, "a5").status == 200);
+    BOOST_TEST(members.ask(armorKey, "a5").status == 200);
 }
 
-// Callers of an entry that the store turns away are served all the same.
-// 1. The store is closed to one entry. 2. It asks the other one, and goes by what that one knows. 3. The other one is
-// killed: from then on what was known gets old.
-BOOST_AUTO_TEST_CASE(an_entry_that_is_turned_away_goes_by_what_a_peer_knows)
+// An entry that the store refuses serves requests with the configuration of another entry. Once that entry is killed,
+// the configuration gets too old to accept keys.
+BOOST_AUTO_TEST_CASE(entry_refused_by_the_store_uses_a_peers_configuration)
 {
     auto members = Members();
     members.world.settings().keyBound = std::chrono::milliseconds(1500);
@@ -178,13 +174,13 @@
     BOOST_REQUIRE(cut.ready());
     const auto begun = members.world.loop().timers().now();
     BOOST_TEST(members.world.until([&] {
-        BOOST_REQUIRE(cut.configuration().keysHold());
+        BOOST_REQUIRE(cut.configuration().keysUsable());
         return members.world.loop().timers().now() - begun > 2s;
     }));
-    members.configure(3, Json::array({ member("another", othersKey) }));
+    members.configure(3, Json::array({ member("another", otherKey) }));
     BOOST_TEST(members.inForce(3, 1));
     members.world.stopGateway(0);
-    BOOST_TEST(members.world.until([&] { return !cut.configuration().keysHold(); }));
+    BOOST_TEST(members.world.until([&] { return !cut.configuration().keysUsable(); }));
 }
 
 namespace {
@@ -198,14 +194,14 @@
 
 } // namespace
 
-// Everybody waits for replicas that one member takes up.
-// 1. A member sends more than its limit, to two entries in turn. 2. Both together grant it its limit. 3. The rest is
-// refused at once, has not run, and is told when to come back; others are served.
-BOOST_AUTO_TEST_CASE(a_limit_holds_over_all_entries)
+// Guards against one member occupying all replicas. A member sends more than its limit to two entries in turn. Together
+// they grant the limit. The other requests are refused at once without running, with a Retry-After, and other members
+// are served.
+BOOST_AUTO_TEST_CASE(quota_is_shared_by_all_entries)
 {
     auto members = Members(2);
-    members.configure(2, { limited("armor", armorsKey, 100, 1000), member("another", othersKey) });
-    // The count begins empty; what a limit may be passed by is granted at once.
+    members.configure(2, { limited("armor", armorKey, 100, 1000), member("another", otherKey) });
+    // The quota bucket starts empty; only the allowed overage is granted at once.
     members.world.settings().quotas.slack = 2000;
     members.world.startGateway();
     members.world.startGateway();
@@ -214,7 +210,7 @@
     for (auto count = std::size_t(0); count < 60; ++count) {
         auto request
             = ServingWorld::Request { .path = "/once/x", .attempt = "b" + std::to_string(count), .gateway = count % 2 };
-        request.more.add(names::apiKey, armorsKey);
+        request.more.add(names::apiKey, armorKey);
         const auto answer = members.world.ask(request);
         granted += answer.status == 200 ? 1 : 0;
         refused += answer.status == 429 ? 1 : 0;
@@ -225,7 +221,7 @@
     BOOST_TEST(granted + refused == 60U);
     BOOST_TEST(refused > 0U);
     BOOST_TEST(members.world.plain(0).runs().size() == granted);
-    BOOST_TEST(members.ask(othersKey, "c").status == 200);
+    BOOST_TEST(members.ask(otherKey, "c").status == 200);
     auto again = false;
-    BOOST_TEST(members.world.until([&] { return again = again || members.ask(armorsKey, "d").status == 200; }));
+    BOOST_TEST(members.world.until([&] { return again = again || members.ask(armorKey, "d").status == 200; }));
 }
