--- a/tests/integration/ServingProcess.cpp
+++ b/tests/integration/ServingProcess.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// A gateway as a process of its own, before a store and a replica that this test plays.
+/// A gateway in a process of its own, with a store, a replica and an agent that run in the test's process.
 struct World {
     World()
     {
@@ -77,9 +77,9 @@
 
 } // namespace
 
-// A planned stop of a gateway, while a stream's replica has fallen silent. The stream cannot end in the time for the
-// stop and is broken off; the stop itself went well and says so by its exit code.
-BOOST_AUTO_TEST_CASE(a_stop_that_breaks_off_a_silent_stream_ends_well)
+// A planned stop while the replica of a stream is silent. The stream cannot end within the grace period and is aborted;
+// the process still exits with 0.
+BOOST_AUTO_TEST_CASE(stop_aborts_a_silent_stream_and_exits_with_0)
 {
     auto world = World();
     world.replica.behave({ .sent = 2, .then = standins::ReplicaStandin::Behaviour::Then::Silence });
@@ -91,9 +91,9 @@
     BOOST_TEST(world.gateway->exitCode() == 0);
 }
 
-// The same while a request waits for its adapter, whose load the replica never answers. What was open at the end of the
-// stop were events in the loop's queue, and the process ended with an error.
-BOOST_AUTO_TEST_CASE(a_stop_while_a_request_waits_for_admission_ends_well)
+// The same while a request waits for an adapter that the replica never finishes loading. Events left in the event
+// loop's queue at the end of the stop once made the process exit with an error.
+BOOST_AUTO_TEST_CASE(stop_during_a_pending_admission_exits_with_0)
 {
     auto world = World();
     world.replica.behave({ .loseOrders = true });
@@ -105,21 +105,20 @@
     BOOST_TEST(world.gateway->exitCode() == 0);
 }
 
-// Whoever reads the logs could call in a member's name.
-// 1. A member calls, a stranger calls, and the member's key is taken away. 2. All that the process wrote names the
-// member, and neither key.
-BOOST_AUTO_TEST_CASE(no_key_is_in_the_output)
+// Guards against leaking keys into the logs. A member calls, a client with an unknown key calls, and the member's key
+// is removed. The output names the member and contains neither key.
+BOOST_AUTO_TEST_CASE(keys_are_never_logged)
 {
     constexpr auto key = "key-of-armor-7f3a91c2";
-    constexpr auto strangersKey = "key-of-nobody-5c1e07a2";
+    constexpr auto unknownKey = "key-of-nobody-5c1e07a2";
     auto world = World();
     auto json = nlohmann::json::parse(tests::servingConfiguration(2));
     json["tenants"] = nlohmann::json::array({ { { "name", "armor" }, { "apiKeys", { key } } } });
     world.store.put("op", "config", json.dump());
-    // In force once a stranger is refused.
+    // The configuration is in force once an unknown key is rejected.
     auto status = 0;
     while (status != 401)
-        status = world.loop.wait(world.ask("base", strangersKey));
+        status = world.loop.wait(world.ask("base", unknownKey));
     while (status != 200)
         status = world.loop.wait(world.ask("base", key));
     json["version"] = 3;
@@ -132,5 +131,5 @@
     const auto output = world.gateway->output();
     BOOST_TEST(output.find("armor") != std::string::npos);
     BOOST_TEST(output.find(key) == std::string::npos);
-    BOOST_TEST(output.find(strangersKey) == std::string::npos);
+    BOOST_TEST(output.find(unknownKey) == std::string::npos);
 }
--- a/tests/integration/ServingStarts.cpp
+++ b/tests/integration/ServingStarts.cpp
@@ -20,10 +20,9 @@
 
 } // namespace
 
-// Callers are served by a replica that left and came back.
-// 1. The replica says that it drains, and gets nothing new. 2. It starts again under the same name. 3. Remembered as
-// leaving by its name, it got nothing for good.
-BOOST_AUTO_TEST_CASE(a_replica_that_drained_and_started_again_is_served_again)
+// Guards against a restarted replica that never gets requests again. The replica drains and gets no new requests, then
+// restarts under the same name. When entries remembered the name as leaving, the new start stayed unused.
+BOOST_AUTO_TEST_CASE(restarted_replica_gets_requests_after_draining)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway();
@@ -36,10 +35,10 @@
     BOOST_TEST(world.until([&] { return world.ask({ .attempt = "again-" + std::to_string(count++) }).status == 200; }));
 }
 
-// Nothing that was known of the earlier start counts for the next one.
-// 1. A replica has read a prompt, held an adapter and failed. 2. It starts again under its name: empty, and well. 3. It
-// is another `Replica`, with another session beside it, and the entry knows nothing of it yet.
-BOOST_AUTO_TEST_CASE(the_next_start_under_a_name_begins_unknown)
+// Guards against applying the state of an earlier start to the next one. A replica that has read a prompt, held an
+// adapter and failed restarts under its name, empty and healthy. It is represented by a new `Replica` with a new agent
+// session and no known state.
+BOOST_AUTO_TEST_CASE(restarted_replica_starts_without_known_state)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway();
@@ -54,16 +53,16 @@
     BOOST_TEST(!engineOf(gateway)->leaving());
 }
 
-// A late order of the earlier start does nothing to the next one: the replica lives.
-// 1. An order to load gets no answer. 2. The replica starts again under the same name and is given its base model and
-// an adapter. 3. The old order arrives; name and count of orders fit, but its token is lower than the one seen since.
-BOOST_AUTO_TEST_CASE(a_late_order_of_the_earlier_start_is_void)
+// Guards against a late order that crashes a restarted replica. An order to load gets no answer. The replica restarts
+// under the same name and loads its base model and an adapter. Then the old order arrives: its name and order number
+// match, but its token is lower than one seen since, so it is rejected.
+BOOST_AUTO_TEST_CASE(late_order_to_an_earlier_start_is_rejected)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
     BOOST_TEST(world.ask({ .attempt = "one", .adapter = "a1" }).status == 200);
     BOOST_TEST(world.ask({ .attempt = "two", .adapter = "a2" }).status == 200);
-    // Two slots, both in use: the next order, of condition 2, unloads one.
+    // Both slots are in use, so the next order, with condition 2, unloads one of them.
     world.engine(0).behave({ .loseOrders = true });
     const auto lost = world.engine(0).orders().size();
     auto third = world.begin({ .attempt = "three", .adapter = "a3", .deadlineMs = 500 });
@@ -79,9 +78,10 @@
     BOOST_TEST(!world.engine(0).crashed());
 }
 
-// Another writer's bytes stand in the list: in a row of their own and in a living replica's. They name no replica, the
-// others are served, and the one whose row is readable again with its next heartbeat is served too.
-BOOST_AUTO_TEST_CASE(an_entry_that_cannot_be_read_names_no_replica)
+// Another writer leaves unreadable bytes in the list, in rows of its own and in that of a running replica. The rows add
+// no replica and the other replicas are used. The overwritten replica is used again once its next heartbeat restores
+// the row.
+BOOST_AUTO_TEST_CASE(unreadable_list_entry_gets_no_requests)
 {
     auto world = ServingWorld(1, 1);
     auto& gateway = world.startGateway();
@@ -97,9 +97,9 @@
     BOOST_TEST(world.ask({ .attempt = "back" }).status == 200);
 }
 
-// A late heartbeat of the earlier start does not bring that start back; a birth that stays does, though it is earlier:
-// the host's time of day has jumped back.
-BOOST_AUTO_TEST_CASE(a_late_heartbeat_of_the_earlier_start_is_passed_over)
+// A late heartbeat of an earlier start does not bring that start back. An earlier birth that persists over several
+// heartbeats is accepted as a new start, on a host whose clock has been set back.
+BOOST_AUTO_TEST_CASE(late_heartbeat_of_an_earlier_start_is_ignored)
 {
     auto world = ServingWorld(1, 0);
     auto& gateway = world.startGateway();
@@ -109,17 +109,17 @@
     world.publishReplicas();
     BOOST_REQUIRE(world.until([&] { return engineOf(gateway) != first; }));
     const auto current = engineOf(gateway);
-    const auto readings = [&](const std::string& entry) {
+    const auto appliesEntry = [&](const std::string& entry) {
         const auto listed = engineOf(gateway)->listedAt();
         world.store().put("servers", "engine-0", entry);
         return world.until([&] { return engineOf(gateway)->listedAt() > listed; });
     };
-    BOOST_REQUIRE(readings(earlier));
+    BOOST_REQUIRE(appliesEntry(earlier));
     BOOST_TEST(engineOf(gateway) == current);
-    BOOST_REQUIRE(readings(world.engine(0).entry()));
-    BOOST_REQUIRE(readings(earlier));
-    BOOST_REQUIRE(readings(earlier));
+    BOOST_REQUIRE(appliesEntry(world.engine(0).entry()));
+    BOOST_REQUIRE(appliesEntry(earlier));
+    BOOST_REQUIRE(appliesEntry(earlier));
     BOOST_TEST(engineOf(gateway) == current);
-    BOOST_REQUIRE(readings(earlier));
+    BOOST_REQUIRE(appliesEntry(earlier));
     BOOST_TEST(engineOf(gateway) != current);
 }
--- a/tests/integration/ServingStreams.cpp
+++ b/tests/integration/ServingStreams.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_stream_comes_whole_from_the_adapter_that_was_asked_for)
+BOOST_AUTO_TEST_CASE(stream_is_complete_and_from_the_requested_adapter)
 {
     auto world = ServingWorld(2, 0);
     world.startGateway();
@@ -40,10 +40,9 @@
     BOOST_TEST(std::string(answer.fields.get(names::seal)) == "seal-of-" + ran.instance());
 }
 
-// The caller sees one whole stream.
-// 1. A replica sends three of five events and resets the connection. 2. The request may go on elsewhere, so the second
-// replica is asked for what comes after the third event. 3. Its events follow, none twice, none missing.
-BOOST_AUTO_TEST_CASE(a_resumable_stream_goes_on_at_another_replica)
+// A replica sends three of five events and resets the connection. The stream is resumable, so the second replica is
+// asked for the events after the third. The client gets every event exactly once.
+BOOST_AUTO_TEST_CASE(resumable_stream_continues_at_another_replica)
 {
     auto world = ServingWorld(2, 0);
     world.startGateway();
@@ -58,10 +57,10 @@
     BOOST_TEST(std::string(whole.fields.get(names::seal)) == "seal-of-" + world.engine(first).instance());
 }
 
-// The caller sees a stream that visibly breaks off, and no second answer within it.
-// 1. The only replica sends three events and resets. 2. No other replica can take the stream over. 3. Writing a refusal
-// then would put an answer's head among the pieces of the first one, and would claim that nothing had run.
-BOOST_AUTO_TEST_CASE(a_stream_that_nobody_can_take_over_breaks_off)
+// Guards against an error response within a stream. The only replica sends three events and resets the connection, and
+// no other replica can continue. A refusal written then would put a response head among the chunks of the stream and
+// claim that the request had not run.
+BOOST_AUTO_TEST_CASE(stream_without_another_replica_is_aborted)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -71,10 +70,10 @@
     BOOST_TEST(world.engine(0).runs().size() == 1U);
 }
 
-// The caller sees a failure, and its request has run once.
-// 1. The replica resets the connection before the first event. 2. The route says that the stream cannot go on
-// elsewhere, so it may have run and must not run again. 3. Saying 503 would promise that it has not.
-BOOST_AUTO_TEST_CASE(a_stream_that_must_run_once_is_not_tried_again)
+// Guards against running a request twice. The replica resets the connection before the first event, so the request may
+// have run. The route is not resumable, so the request must not be sent again, nor answered with a 503, which would
+// promise that it has not run.
+BOOST_AUTO_TEST_CASE(non_resumable_stream_is_not_retried)
 {
     auto world = ServingWorld(2, 0);
     world.startGateway();
@@ -85,10 +84,10 @@
     BOOST_TEST(runsInAll(world) == 1U);
 }
 
-// The caller of a request that crashes whatever runs it gets a failure, and the replicas are left alone.
-// 1. Each run of the request ends with its replica's reset. 2. The caller sends it again and again. 3. After three runs
-// that broke off with no success between them it is not sent any more; other requests are.
-BOOST_AUTO_TEST_CASE(a_request_that_breaks_off_everywhere_is_not_sent_for_ever)
+// Guards against one request crashing replica after replica. Each run ends with a reset by the replica, and the client
+// keeps sending the request. After three breaks without a success in between it is not sent any more; other requests
+// are.
+BOOST_AUTO_TEST_CASE(request_is_blocked_after_three_breaks)
 {
     auto world = ServingWorld(2, 0);
     world.startGateway();
@@ -103,8 +102,8 @@
     BOOST_TEST(world.ask({ .attempt = "last", .body = "poison" }).status == 502);
 }
 
-// The replica stops its work when the caller leaves in the middle of a stream.
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_ends_the_run)
+// A replica stops working when the client disconnects in the middle of a stream.
+BOOST_AUTO_TEST_CASE(client_disconnect_cancels_the_run)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
@@ -115,8 +114,8 @@
     BOOST_TEST(world.until([&] { return world.engine(0).cancelled() == 1; }));
 }
 
-// Headers with which a client could steer replicas do not get through; the system's own do.
-BOOST_AUTO_TEST_CASE(a_client_cannot_steer_a_replica)
+// Internal headers sent by a client do not reach the replica; those set by the gateway do.
+BOOST_AUTO_TEST_CASE(client_cannot_set_internal_headers)
 {
     auto world = ServingWorld(1, 0);
     world.startGateway();
--- a/tests/integration/SharedReading.cpp
+++ b/tests/integration/SharedReading.cpp
@@ -1,4 +1,4 @@
-// The entries of a zone share what one of them reads in the store.
+// One entry of a zone reads the store and shares the data with the others.
 #include "standins/FaultProxy.h"
 #include "tests/harness/ServingWorld.h"
 
@@ -14,32 +14,33 @@
 
 constexpr auto entries = std::size_t(5);
 
-/// A zone in which one entry reads; returns when the others are spared.
+/// A zone with several entries. Construction waits until one entry reads the store and the others rely on it.
 struct Zone {
     Zone()
     {
         for (auto index = std::size_t(0); index < entries; ++index)
             world.startGateway();
         BOOST_REQUIRE(world.until([&] { return settled(); }));
-        // Whoever reads for the others has just begun to.
-        const auto begun = readings();
-        BOOST_REQUIRE(world.until([&] { return readings() >= begun + 2 && settled(); }));
+        // The reader has only just started to read for the others.
+        const auto begun = storeReads();
+        BOOST_REQUIRE(world.until([&] { return storeReads() >= begun + 2 && settled(); }));
     }
-    auto readings() -> std::uint64_t
+    auto storeReads() -> std::uint64_t
     {
         auto count = std::uint64_t(0);
         for (auto index = std::size_t(0); index < world.gateways(); ++index)
-            count += world.gateway(index).directory().readings();
+            count += world.gateway(index).directory().storeReads();
         return count;
     }
-    /// Whether all but one are spared, and by that one: while entries start, the choice still changes.
+    /// Whether all entries but one skip their own reads and follow that one. The choice of the reader may change while
+    /// entries start.
     auto settled() -> bool
     {
         auto readers = std::set<std::uint16_t>();
         for (auto index = std::size_t(0); index < world.gateways(); ++index) {
             auto& gateway = world.gateway(index);
             const auto& reader = gateway.reader();
-            if (reader && !gateway.directory().spared())
+            if (reader && !gateway.directory().readsSkipped())
                 return false;
             readers.insert(reader ? reader->port : gateway.peerPort());
         }
@@ -52,9 +53,9 @@
             count += holds(world.gateway(index)) ? 1 : 0;
         return count;
     }
-    auto spared() -> std::size_t
+    auto skippingCount() -> std::size_t
     {
-        return each([](serving::GatewayRole& gateway) { return gateway.directory().spared(); });
+        return each([](serving::GatewayRole& gateway) { return gateway.directory().readsSkipped(); });
     }
     auto leaving(serving::GatewayRole& gateway) -> bool
     {
@@ -69,21 +70,20 @@
 
 } // namespace
 
-// Every call to the store is paid for.
-// 1. Five entries stand in one zone. 2. A replica says that it leaves. 3. All of them hear of it, and four have not
-// read the list for it.
-BOOST_AUTO_TEST_CASE(all_entries_hear_of_a_leaving_replica_and_one_has_read_it)
+// Guards against needless calls to the store, each of which is billed. When a replica starts to drain, all five entries
+// of the zone learn of it, and only one has read the list from the store.
+BOOST_AUTO_TEST_CASE(one_entry_reads_the_list_and_all_learn_of_a_leaving_replica)
 {
     auto zone = Zone();
     auto before = std::vector<std::uint64_t>();
     for (auto index = std::size_t(0); index < entries; ++index)
-        before.push_back(zone.world.gateway(index).directory().readings());
+        before.push_back(zone.world.gateway(index).directory().storeReads());
     zone.drainEngine();
     BOOST_TEST(zone.world.until(
         [&] { return zone.each([&](serving::GatewayRole& gateway) { return zone.leaving(gateway); }) == entries; }));
     auto readers = 0;
     for (auto index = std::size_t(0); index < entries; ++index)
-        readers += zone.world.gateway(index).directory().readings() > before[index] ? 1 : 0;
+        readers += zone.world.gateway(index).directory().storeReads() > before[index] ? 1 : 0;
     BOOST_TEST(readers == 1);
 }
 
@@ -92,15 +92,15 @@
 {
     auto zone = Zone();
     // Lets polls in progress finish.
-    const auto begun = zone.readings();
-    BOOST_REQUIRE(zone.world.until([&] { return zone.readings() >= begun + 4; }));
+    const auto begun = zone.storeReads();
+    BOOST_REQUIRE(zone.world.until([&] { return zone.storeReads() >= begun + 4; }));
     auto heardAt = std::vector<std::optional<Moment>>();
     for (auto index = std::size_t(0); index < entries; ++index)
-        heardAt.push_back(zone.world.gateway(index).configuration().heardAt());
-    BOOST_REQUIRE(zone.world.until([&] { return zone.readings() >= begun + 10; }));
+        heardAt.push_back(zone.world.gateway(index).configuration().lastAnswerAt());
+    BOOST_REQUIRE(zone.world.until([&] { return zone.storeReads() >= begun + 10; }));
     auto heard = 0;
     for (auto index = std::size_t(0); index < entries; ++index)
-        heard += zone.world.gateway(index).configuration().heardAt() != heardAt[index] ? 1 : 0;
+        heard += zone.world.gateway(index).configuration().lastAnswerAt() != heardAt[index] ? 1 : 0;
     BOOST_TEST(heard == 1);
 }
 
@@ -145,7 +145,8 @@
 }
 
 // Guards against a zone that keeps a reader refused by the store, so that every entry reads for itself.
-// 1. The entry with the largest share reads. 2. The store refuses it alone. 3. Another reads, and the first follows it.
+// The entry with the largest processor share reads until the store refuses it alone; another entry then reads, and the
+// first one follows it.
 BOOST_AUTO_TEST_CASE(a_reader_that_the_store_refuses_is_replaced)
 {
     auto world = ServingWorld(2, 1);
@@ -160,12 +161,12 @@
     proxy.apply({ { "cut", true }, { "refuse", true } });
     BOOST_TEST(world.until([&] {
         const auto& second = world.gateway(0).reader();
-        return second && world.gateway(1).reader() != first && world.gateway(0).directory().spared();
+        return second && world.gateway(1).reader() != first && world.gateway(0).directory().readsSkipped();
     }));
 }
 
-// The same for what the operator puts in force.
-BOOST_AUTO_TEST_CASE(all_entries_get_a_configuration_and_a_version)
+// The same for the configuration and the adapter versions.
+BOOST_AUTO_TEST_CASE(all_entries_get_a_new_configuration_and_adapter_version)
 {
     auto zone = Zone();
     zone.world.configure(2);
@@ -178,14 +179,13 @@
     BOOST_TEST(zone.world.until([&] { return zone.each(has) == entries; }));
 }
 
-// Requests go on being sent to a replica that has left, by every entry that relied on the one that read.
-// 1. The entry that reads for the zone is killed. 2. A replica says that it leaves. 3. The others read for themselves,
-// or ask the next one.
-BOOST_AUTO_TEST_CASE(a_reader_that_is_gone_is_replaced)
+// Guards against entries that keep sending requests to a leaving replica because their reader is gone. The reader of
+// the zone is killed and a replica starts to drain. The other entries read the list themselves or from the next reader.
+BOOST_AUTO_TEST_CASE(stopped_reader_is_replaced)
 {
     auto zone = Zone();
     for (auto index = std::size_t(0); index < zone.world.gateways(); ++index) {
-        if (!zone.world.gateway(index).directory().spared()) {
+        if (!zone.world.gateway(index).directory().readsSkipped()) {
             zone.world.stopGateway(index);
             break;
         }
@@ -198,12 +198,12 @@
     BOOST_TEST(zone.world.until([&] { return zone.settled(); }));
 }
 
-// The store comes back after an outage, and no replica is lost over it.
-BOOST_AUTO_TEST_CASE(an_outage_of_the_store_takes_no_replica_away)
+// An outage of the store removes no replica from the list.
+BOOST_AUTO_TEST_CASE(store_outage_removes_no_replica)
 {
     auto zone = Zone();
     zone.world.store().refuseWith(503);
-    BOOST_TEST(zone.world.until([&] { return zone.spared() == 0; }));
+    BOOST_TEST(zone.world.until([&] { return zone.skippingCount() == 0; }));
     zone.world.store().refuseWith(0);
     BOOST_TEST(zone.world.until([&] { return zone.settled(); }));
     BOOST_TEST(zone.each([&](serving::GatewayRole& gateway) { return !zone.leaving(gateway); }) == entries);
--- a/tests/unit/ReplicaLeg.cpp
+++ b/tests/unit/ReplicaLeg.cpp
@@ -1,4 +1,4 @@
-// The leg to a replica: what was sent, and who is told of it.
+// Connections to replicas: which handlers are called for a request that was sent.
 #include "serving/ReplicaLeg.h"
 
 #include "wire/HttpHead.h"
@@ -10,57 +10,56 @@
 
 namespace {
 
-/// A connection whose opening packet nobody answers: the loop is not run, so it never stands.
-struct Leg {
-    Leg()
+/// A connection that is never established, because the event loop does not run.
+struct UnansweredConnection {
+    UnansweredConnection()
     {
         connection.send(
             "POST / HTTP/1.1\r\n\r\n", {}, [](const auto&) { return true; }, handlers());
     }
     auto handlers() -> ReplicaConnection::Handlers
     {
-        return { .onHead = [this](const wire::HttpResponseHead&) { ++told; },
-            .onBody = [this](std::string_view) { ++told; },
-            .onDone = [this] { ++told; },
-            .onFault = [this](LegFault) { ++told; } };
+        return { .onHead = [this](const wire::HttpResponseHead&) { ++calls; },
+            .onBody = [this](std::string_view) { ++calls; },
+            .onDone = [this] { ++calls; },
+            .onFault = [this](ReplicaFault) { ++calls; } };
     }
 
     Moment now { 1s };
     TimerService timers { [this] { return now; } };
     ReplicaConnection connection { timers, { "127.0.0.1", 9 } };
-    int told = 0;
+    int calls = 0;
 };
 
 } // namespace
 
-// The client gets an answer that belongs to another request, or one on a connection without any.
-// 1. A replica cannot be reached, and the limit for connecting comes due. 2. In the same turn of the loop, just before,
-// the request's own time is up: it is answered, and its send aborted. 3. The limit's timer reports a fault for it all
-// the same, and the run, which is over, answers a second time.
-BOOST_AUTO_TEST_CASE(an_aborted_send_is_not_reported_when_its_connect_limit_is_due)
+// Guards against a second answer, which the client would take for the answer to its next request. The connect timeout
+// falls due in the turn of the event loop in which the request's deadline has just passed: the request is answered and
+// its send aborted, and the timer must not report a fault to the finished request.
+BOOST_AUTO_TEST_CASE(aborted_send_reports_no_fault_when_the_connect_timeout_is_due)
 {
-    auto leg = Leg();
-    const auto timeUp = leg.timers.after(100ms, [&] { leg.connection.abort(); });
-    leg.now += 10s;
-    leg.timers.runDue();
-    BOOST_TEST(leg.told == 0);
+    auto unanswered = UnansweredConnection();
+    const auto timeUp = unanswered.timers.after(100ms, [&] { unanswered.connection.abort(); });
+    unanswered.now += 10s;
+    unanswered.timers.runDue();
+    BOOST_TEST(unanswered.calls == 0);
 }
 
-// The same where the connection outlives the abort by some turns, as when it is handed back later.
-BOOST_AUTO_TEST_CASE(an_aborted_send_is_not_reported_later_either)
+// The same if the connection outlives the abort by some turns, as it does when it is returned to the pool later.
+BOOST_AUTO_TEST_CASE(aborted_send_reports_no_fault_on_later_loop_turns)
 {
-    auto leg = Leg();
-    leg.connection.abort();
-    leg.now += 10s;
-    leg.timers.runDue();
-    BOOST_TEST(leg.told == 0);
+    auto unanswered = UnansweredConnection();
+    unanswered.connection.abort();
+    unanswered.now += 10s;
+    unanswered.timers.runDue();
+    BOOST_TEST(unanswered.calls == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_send_that_nobody_aborts_is_reported_once)
+BOOST_AUTO_TEST_CASE(connect_timeout_reports_one_fault)
 {
-    auto leg = Leg();
-    leg.now += 10s;
-    leg.timers.runDue();
-    leg.timers.runDue();
-    BOOST_TEST(leg.told == 1);
+    auto unanswered = UnansweredConnection();
+    unanswered.now += 10s;
+    unanswered.timers.runDue();
+    unanswered.timers.runDue();
+    BOOST_TEST(unanswered.calls == 1);
 }
--- a/tests/unit/ServingParts.cpp
+++ b/tests/unit/ServingParts.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_wins)
+BOOST_AUTO_TEST_CASE(longest_matching_prefix_selects_the_route)
 {
     const auto made = configuration();
     const auto table = RouteTable(made);
@@ -33,7 +33,7 @@
     BOOST_TEST(!table.find("h", ""));
 }
 
-BOOST_AUTO_TEST_CASE(a_split_follows_its_weights_and_one_attempt_stays)
+BOOST_AUTO_TEST_CASE(service_choice_follows_weights_and_is_stable_per_attempt)
 {
     const auto made = configuration();
     auto first = 0;
@@ -47,7 +47,7 @@
     BOOST_TEST(first < 940);
 }
 
-BOOST_AUTO_TEST_CASE(events_are_whole_however_they_are_cut)
+BOOST_AUTO_TEST_CASE(events_are_complete_for_every_split_of_the_bytes)
 {
     const auto text = std::string("id: 1\ndata: a\n\nx: 2\nid:2\r\ndata: b\r\n\r\nid: 3\nda");
     for (auto cut = std::size_t(0); cut <= text.size(); ++cut) {
@@ -58,11 +58,11 @@
         BOOST_REQUIRE(events.size() == 2U);
         BOOST_TEST(events[0].id.value() == 1U);
         BOOST_TEST(events[1].id.value() == 2U);
-        BOOST_TEST(splitter.rest() == "id: 3\nda");
+        BOOST_TEST(splitter.incomplete() == "id: 3\nda");
     }
 }
 
-BOOST_AUTO_TEST_CASE(settings_name_every_problem_with_its_line)
+BOOST_AUTO_TEST_CASE(settings_report_every_problem_with_its_line)
 {
     const auto checked = parseGatewaySettings(
         "name: g\navailability_zone: z\nstore: nowhere\nseeds: [\"1.2.3.4:5\"]\nwrong: 1\n", "f.yaml");
@@ -75,7 +75,7 @@
     BOOST_TEST(keys.find("agent_port@") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(good_settings_are_taken)
+BOOST_AUTO_TEST_CASE(valid_settings_are_accepted)
 {
     const auto checked = parseAgentSettings("name: a\navailability_zone: z\naddress: 10.0.0.1\nstore: \"10.0.0.9:80\"\n"
                                             "replica: \"10.0.0.1:9\"\nservice: s\nagent_port: 7000\n",
