--- a/packages/serving/GatewayRole.cpp
+++ b/packages/serving/GatewayRole.cpp
@@ -106,7 +106,7 @@
         settings_.peers.address, settings_.peers.port, [this](kj::Own<wire::GlibStream> stream) {
             peerSessions_.add(std::make_unique<wire::Connection>(kj::mv(stream), kj::heap<Peer>(*this)));
         });
-    // The port may have been chosen by the system; agents and peers are told the actual one.
+    // The port may have been chosen by the system; agents and peers get the actual one.
     settings_.peers.port = peers_->port();
     metricsServer_ = serveMetrics(loop_.timers(), { settings_.host.address, settings_.host.metricsPort }, metrics_);
     configuration_.start();
@@ -147,7 +147,7 @@
     // names a reader.
     if (!std::exchange(directoryStarted_, true))
         directory_.start();
-    // If another entry has a still newer configuration, the next update of an agent tells so.
+    // If another entry has a still newer configuration, the next update of an agent shows it.
     behindSince_.reset();
 }
 
--- a/packages/serving/MemberQuotas.cpp
+++ b/packages/serving/MemberQuotas.cpp
@@ -28,13 +28,13 @@
 {
 }
 
-auto MemberQuotas::chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& facts) const
+auto MemberQuotas::chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& metadata) const
     -> std::optional<QuotaCharge>
 {
     const auto& quota = member.quota;
     if (!quota.limits())
         return std::nullopt;
-    const auto tokens = static_cast<double>(facts.promptTokens + facts.outputTokens);
+    const auto tokens = static_cast<double>(metadata.promptTokens + metadata.outputTokens);
     const auto window = std::chrono::duration<double>(bounds_.window).count();
     const auto most = quota.ratePerSecond * window + quota.burst;
     const auto counted = tokens > 0 ? tokens : quota.defaultTokens;
@@ -79,7 +79,7 @@
 {
     using Answer = kj::Maybe<QuotaDecision>;
     return counter.takeQuota(charge)
-        .then([](QuotaDecision&& verdict) -> Answer { return verdict; })
+        .then([](QuotaDecision&& decision) -> Answer { return decision; })
         .exclusiveJoin(loop_.sleep(answerTimeout).then([]() -> Answer { return nullptr; }))
         .catch_([](kj::Exception&&) -> Answer { return nullptr; });
 }
@@ -99,14 +99,14 @@
     auto answer = askCounter(*counters.front(), charge);
     return answer.then([this, charge = std::move(charge), entries, asked, peer](
                            kj::Maybe<QuotaDecision>&& answer) mutable -> kj::Promise<QuotaDecision> {
-        KJ_IF_MAYBE (verdict, answer) {
-            if (verdict->granted) {
+        KJ_IF_MAYBE (decision, answer) {
+            if (decision->granted) {
                 for (auto* other : countersOf(charge.member)) {
                     if (other->endpoint() != peer)
-                        other->noteQuota(charge, verdict->level);
+                        other->noteQuota(charge, decision->level);
                 }
             }
-            return *verdict;
+            return *decision;
         }
         log::warn("quota agent did not answer", { { "peer", peer.str() } });
         avoidedUntil_[peer] = loop_.timers().now() + avoidTime;
@@ -121,8 +121,8 @@
     auto& bucket = shareBuckets_[charge.member];
     bucket.setRate(
         { charge.rate.perSecond / sharing, charge.rate.burst / sharing, charge.rate.lenience / sharing }, now);
-    const auto verdict = bucket.take(charge.amount, now);
-    return { verdict.granted, std::chrono::duration_cast<milliseconds>(verdict.retryAfter), bucket.level(now) };
+    const auto decision = bucket.take(charge.amount, now);
+    return { decision.granted, std::chrono::duration_cast<milliseconds>(decision.retryAfter), bucket.level(now) };
 }
 
 auto MemberQuotas::giveBack(QuotaCharge charge) -> void
--- a/packages/serving/MemberQuotas.h
+++ b/packages/serving/MemberQuotas.h
@@ -16,7 +16,7 @@
 /// full one. An entry that reaches neither agent grants its equal share of the limit.
 ///
 /// ```cpp
-/// quotas.take(charge, entries).then([](QuotaDecision verdict) { ... });
+/// quotas.take(charge, entries).then([](QuotaDecision decision) { ... });
 /// ```
 class MemberQuotas {
 public:
@@ -24,8 +24,8 @@
     KJ_DISALLOW_COPY(MemberQuotas);
 
     /// The charge for a request; empty if the member has no limit.
-    [[nodiscard]] auto chargeFor(const MemberRecord& member, ConfigVersion version, const RequestMetadata& facts) const
-        -> std::optional<QuotaCharge>;
+    [[nodiscard]] auto chargeFor(const MemberRecord& member, ConfigVersion version,
+        const RequestMetadata& metadata) const -> std::optional<QuotaCharge>;
     /// Charges the quota. The promise never rejects. `entries` is the estimated number of entries that share the limit.
     [[nodiscard]] auto take(const QuotaCharge& charge, std::size_t entries) -> kj::Promise<QuotaDecision>;
     /// Returns the charge of a request that was refused and has not run.
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -51,7 +51,7 @@
     ReplicaDirectory(wire::MainLoop& loop, hosting::Store& store, Options options, Hooks hooks);
 
     auto start() -> void;
-    /// Applies a new configuration, which tells the services whose replicas have an agent. `holder` is the address at
+    /// Applies a new configuration, which lists the services whose replicas have an agent. `holder` is the address at
     /// which this entry offers it to others.
     auto configure(std::shared_ptr<const ServingConfiguration> configuration, const std::string& holder) -> void;
     /// Replicas of a service; empty if there are none.
--- a/packages/serving/RequestAnswer.cpp
+++ b/packages/serving/RequestAnswer.cpp
@@ -84,7 +84,7 @@
         firstEventAt_ = gateway_.now();
         deadlineTimer_ = gateway_.loop.timers().after(endAt_ - firstEventAt_, guarded(&RequestRun::onTimeUp));
         if (admittingAgent_)
-            admittingAgent_->started(facts_.attempt);
+            admittingAgent_->started(metadata_.attempt);
     }
     if (delivered_ == Delivered::Nothing) {
         delivered_ = Delivered::Part;
@@ -101,13 +101,13 @@
 auto RequestRun::onDone() -> void
 {
     const auto self = shared_from_this();
-    const auto facts = hosting::readAnswerMetadata(head_, facts_.attempt);
+    const auto metadata = hosting::readAnswerMetadata(head_, metadata_.attempt);
     const auto now = gateway_.now();
     silenceTimer_.cancel();
-    if (facts.notRun) {
-        if (facts.otherInstance && !facts.instance.empty() && facts.instance != replica_->id())
+    if (metadata.notRun) {
+        if (metadata.otherInstance && !metadata.instance.empty() && metadata.instance != replica_->id())
             gateway_.directory.markGone(replica_->id(), "another instance has its address");
-        else if (!facts.otherInstance)
+        else if (!metadata.otherInstance)
             replica_->reportedFull(now);
         releaseReplica(true);
         return onNotRun(head_.status == unavailable ? "replica full" : "replica did not run it");
@@ -139,7 +139,7 @@
         return giveUp("stream not resumed");
     // Not forwarded: an answer without the replica's seal, and a status that promises that the request has not run
     // without the header that confirms it.
-    if (!facts.sealed || promisesNotRun(head_.status))
+    if (!metadata.sealed || promisesNotRun(head_.status))
         return fail(badGateway, "answer not to be trusted");
     delivered_ = Delivered::Everything;
     caller_->respond({ head_.status, hosting::returnedFields(head_) }, body_);
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -52,16 +52,16 @@
         = agent->alive() && agent->state().readRate > 0 ? std::min(maxSlowness, readRate / agent->state().readRate) : 1;
     view.cachedTokens = replica->prompts().tokens(sharedPrefixes_);
     if (!agent->alive()) {
-        // Without a session with its agent, the platform's list tells what a replica holds.
+        // Without a session with its agent, the platform's list shows what a replica holds.
         view.holds = replica->record().hasBaseModel
-            && (facts_.adapter.empty() || replica->record().adapters.contains(facts_.adapter));
+            && (metadata_.adapter.empty() || replica->record().adapters.contains(metadata_.adapter));
         view.canLoad = agent->mayOpen();
         if (!view.canLoad)
             return view;
         // The replica is assumed to be idle, as its agent reports at once if it is not. If such replicas were ranked
         // lower, each entry would load the adapter on the replicas that it happens to have sessions with.
-        view.loading = replica->hasRequestedLoad(facts_.adapter);
-        view.warm = replica->warm(facts_.adapter);
+        view.loading = replica->hasRequestedLoad(metadata_.adapter);
+        view.warm = replica->warm(metadata_.adapter);
         view.spareSlots = 1;
         view.tokensAhead = replica->tokensSent();
         view.loadsWaiting = replica->loadsRequested();
@@ -69,9 +69,9 @@
     }
     const auto& state = agent->state();
     view.running = std::max(state.running, replica->inFlight());
-    view.holds = facts_.adapter.empty() || state.resident.contains(facts_.adapter);
-    view.loading = state.loading.contains(facts_.adapter) || replica->hasRequestedLoad(facts_.adapter);
-    view.warm = replica->warm(facts_.adapter);
+    view.holds = metadata_.adapter.empty() || state.resident.contains(metadata_.adapter);
+    view.loading = state.loading.contains(metadata_.adapter) || replica->hasRequestedLoad(metadata_.adapter);
+    view.warm = replica->warm(metadata_.adapter);
     view.tokensAhead = state.tokensAhead + replica->tokensSent();
     view.tokensWaiting = state.tokensWaiting;
     view.spareSlots = state.spareSlots;
@@ -105,7 +105,7 @@
     const auto now = gateway_.now();
     const auto sharedId = sharedPrefixes_.empty() ? 0 : sharedPrefixes_.back().id;
     const auto usable = gateway_.directory.candidates(
-        { service_, facts_.adapter, sharedId }, [&](const Replica& replica) { return isCandidate(replica, now); });
+        { service_, metadata_.adapter, sharedId }, [&](const Replica& replica) { return isCandidate(replica, now); });
     if (usable.empty())
         return std::nullopt;
     auto fastest = Duration::max();
@@ -118,10 +118,10 @@
     views.reserve(usable.size());
     for (const auto& replica : usable)
         views.push_back(viewOf(replica, fastest == Duration::max() ? Duration(0) : fastest, readRate));
-    const auto need = decisions::PlacementQuery { .adapter = facts_.adapter.view(),
+    const auto need = decisions::PlacementQuery { .adapter = metadata_.adapter.view(),
         .entry = gateway_.settings.host.name,
         .zone = gateway_.settings.host.zone,
-        .unreadTokens = facts_.promptTokens - std::min(facts_.promptTokens, sharedTokens()),
+        .unreadTokens = metadata_.promptTokens - std::min(metadata_.promptTokens, sharedTokens()),
         .sharedTokens = sharedTokens(),
         .sharedId = sharedId,
         .pauseLimit = route_->eventGapTarget,
@@ -211,19 +211,19 @@
     auto* agent = replica_->agent();
     const auto left
         = [&](Moment at) { return std::max(std::chrono::duration_cast<milliseconds>(at - now), milliseconds(0)); };
-    auto order = AgentAdmissionRequest { .attempt = facts_.attempt,
-        .adapter = facts_.adapter,
-        .version = gateway_.configuration.versionOf(facts_.model, facts_.adapter),
-        .promptTokens = facts_.promptTokens,
+    auto order = AgentAdmissionRequest { .attempt = metadata_.attempt,
+        .adapter = metadata_.adapter,
+        .version = gateway_.configuration.versionOf(metadata_.model, metadata_.adapter),
+        .promptTokens = metadata_.promptTokens,
         .shared = sharedPrefixes_,
-        .outputTokens = facts_.outputTokens,
+        .outputTokens = metadata_.outputTokens,
         .priority = priority(),
         .timeUntilLate = left(firstEventSeen_ ? now + Duration(route_->eventGapTarget) : lateAt_),
         .timeUntilGiveUp
         = left(firstEventSeen_ ? std::min(endAt_, lastForwardedAt_ + clientEventTimeout(*route_)) : firstEventBy_),
         .elsewhere = lateRedirects_ < maxLateRedirects && !lateReplicas_.contains(replica_->id()) };
-    if (!facts_.adapter.empty() && !agent->state().resident.contains(facts_.adapter))
-        replica_->noteLoadRequested(facts_.adapter);
+    if (!metadata_.adapter.empty() && !agent->state().resident.contains(metadata_.adapter))
+        replica_->noteLoadRequested(metadata_.adapter);
     admittingAgent_ = agent;
     admissionAskedAt_ = now;
     // The answer is handled from the event loop: it may end the request, and a promise must not be destroyed within its
@@ -260,14 +260,14 @@
     waitTimer_.cancel();
     if (finished_) {
         if (result.granted)
-            replica_->agent()->release(facts_.attempt);
+            replica_->agent()->release(metadata_.attempt);
         return;
     }
     // The replica may have begun to drain while the request waited for admission.
     if (replica_->leaving())
         return abandonAdmission("replica leaving");
     if (result.granted) {
-        const auto version = facts_.adapter.empty() ? std::nullopt : std::optional(result.version);
+        const auto version = metadata_.adapter.empty() ? std::nullopt : std::optional(result.version);
         return send(version);
     }
     admittingAgent_ = nullptr;
@@ -315,7 +315,7 @@
     ++admissionCount_;
     waitTimer_.cancel();
     if (admittingAgent_)
-        admittingAgent_->release(facts_.attempt);
+        admittingAgent_->release(metadata_.attempt);
     admittingAgent_ = nullptr;
     if (finished_)
         return;
--- a/packages/serving/RequestRun.cpp
+++ b/packages/serving/RequestRun.cpp
@@ -14,12 +14,12 @@
 using namespace detail;
 
 /// Every part of a prompt but the last can be shared; the last one belongs to the request or its session.
-auto sharedPrefixes(const RequestMetadata& facts) -> std::vector<decisions::SharedPrefix>
+auto sharedPrefixes(const RequestMetadata& metadata) -> std::vector<decisions::SharedPrefix>
 {
     auto prefixes = std::vector<decisions::SharedPrefix>();
-    auto prefix = decisions::SharedPrefix { XXH3_64bits(facts.adapter.str().data(), facts.adapter.str().size()) };
-    for (auto index = std::size_t(0); index + 1 < facts.prompt.size(); ++index) {
-        const auto& part = facts.prompt[index];
+    auto prefix = decisions::SharedPrefix { XXH3_64bits(metadata.adapter.str().data(), metadata.adapter.str().size()) };
+    for (auto index = std::size_t(0); index + 1 < metadata.prompt.size(); ++index) {
+        const auto& part = metadata.prompt[index];
         prefix.id = XXH3_64bits_withSeed(part.id.data(), part.id.size(), prefix.id);
         prefix.tokens += part.tokens;
         prefixes.push_back(prefix);
@@ -63,9 +63,9 @@
 
 auto RequestRun::readRequest() -> bool
 {
-    auto facts = hosting::readRequestMetadata(request_);
-    if (facts)
-        facts_ = std::move(*facts);
+    auto metadata = hosting::readRequestMetadata(request_);
+    if (metadata)
+        metadata_ = std::move(*metadata);
     if (!configuration_ || !gateway_.directory.loaded()) {
         refuse("no configuration yet", defaultRetryAfter);
         return false;
@@ -75,24 +75,24 @@
         fail(notFound, "no route");
         return false;
     }
-    if (!facts) {
+    if (!metadata) {
         fail(badRequest, "no attempt id");
         return false;
     }
     if (!authenticate())
         return false;
-    digest_ = digestOf(request_, facts_, member_ ? member_->name : MemberId());
+    digest_ = digestOf(request_, metadata_, member_ ? member_->name : MemberId());
     if (gateway_.suspects.isBlocked(digest_)) {
         fail(badGateway, "breaks off wherever it runs");
         return false;
     }
-    service_ = pickService(*route_, facts_.attempt);
+    service_ = pickService(*route_, metadata_.attempt);
     const auto timeout = Duration(route_->timeout);
-    const auto deadline = facts_.deadline ? Duration(*facts_.deadline) - answerMargin : timeout;
+    const auto deadline = metadata_.deadline ? Duration(*metadata_.deadline) - answerMargin : timeout;
     endAt_ = beganAt_ + std::min(timeout, deadline);
     firstEventBy_ = route_->streamed ? std::min(endAt_, beganAt_ + clientEventTimeout(*route_)) : endAt_;
     lateAt_ = beganAt_ + Duration(route_->latencyTarget);
-    sharedPrefixes_ = sharedPrefixes(facts_);
+    sharedPrefixes_ = sharedPrefixes(metadata_);
     return true;
 }
 
@@ -144,29 +144,31 @@
 /// Charges the quota before any replica is involved, so that a member over its limit is refused at once.
 auto RequestRun::takeQuota() -> void
 {
-    const auto charge = member_ ? gateway_.quotas.chargeFor(*member_, configuration_->version, facts_) : std::nullopt;
+    const auto charge
+        = member_ ? gateway_.quotas.chargeFor(*member_, configuration_->version, metadata_) : std::nullopt;
     if (!charge)
         return place();
-    // The verdict is handled from the event loop, since a promise must not be destroyed within its own callback.
+    // The decision is handled from the event loop, since a promise must not be destroyed within its own callback.
     admission_ = gateway_.quotas.take(*charge, gateway_.entries)
-                     .then([this, charge = *charge](QuotaDecision&& verdict) {
-                         gateway_.deferred.add(
-                             [self = shared_from_this(), charge, verdict] { self->onQuotaVerdict(charge, verdict); });
+                     .then([this, charge = *charge](QuotaDecision&& decision) {
+                         gateway_.deferred.add([self = shared_from_this(), charge, decision] {
+                             self->onQuotaDecision(charge, decision);
+                         });
                      })
                      .eagerlyEvaluate([](kj::Exception&& error) {
                          log::error("quota charge failed", { { "reason", error.getDescription().cStr() } });
                      });
 }
 
-auto RequestRun::onQuotaVerdict(const QuotaCharge& charge, const QuotaDecision& verdict) -> void
+auto RequestRun::onQuotaDecision(const QuotaCharge& charge, const QuotaDecision& decision) -> void
 {
     if (finished_) {
-        if (verdict.granted)
+        if (decision.granted)
             gateway_.quotas.giveBack(charge);
         return;
     }
-    if (!verdict.granted)
-        return refuseWith(tooManyRequests, "over the member's limit", verdict.retryAfter);
+    if (!decision.granted)
+        return refuseWith(tooManyRequests, "over the member's limit", decision.retryAfter);
     charged_ = charge;
     place();
 }
@@ -183,7 +185,7 @@
 
 auto RequestRun::send(std::optional<AdapterVersion> version) -> void
 {
-    // With less time left the request would be cut off at once, and nobody could tell the client that it has not run.
+    // With less time left the request would be cut off at once, and the client could not be told that it has not run.
     if (timeLeft() < minTimeToSend)
         return onTimeUp();
     if (!keyStillValid())
@@ -217,13 +219,13 @@
         options.lastEventId = lastEventId_;
     const auto fields = hosting::forwardedFields(request_, options);
     const auto head = wire::requestHeadText(request_.method, request_.target, fields, request_.body.size());
-    replica_->requestSent(facts_.promptTokens);
+    replica_->requestSent(metadata_.promptTokens);
     if (replica_->agent())
         replica_->prompts().remember(sharedPrefixes_);
     logDecision("sent", {});
     startSilenceTimer();
     connection_->send(head, request_.body,
-        [attempt = facts_.attempt](const wire::HttpResponseHead& answer) {
+        [attempt = metadata_.attempt](const wire::HttpResponseHead& answer) {
             return !hosting::readAnswerMetadata(answer, attempt).forOtherAttempt;
         },
         { .onHead = [this](const wire::HttpResponseHead& answer) { onHead(answer); },
@@ -252,7 +254,7 @@
 {
     silenceTimer_.cancel();
     if (admittingAgent_)
-        admittingAgent_->release(facts_.attempt, firstEventSeen_ ? RunEnd::Plain : end);
+        admittingAgent_->release(metadata_.attempt, firstEventSeen_ ? RunEnd::Plain : end);
     admittingAgent_ = nullptr;
     if (!connection_)
         return;
@@ -302,7 +304,7 @@
 {
     const auto self = shared_from_this();
     delivered_ = Delivered::Everything;
-    caller_->respond({ status, hosting::ownFields(facts_.attempt, retryAfter) }, {});
+    caller_->respond({ status, hosting::ownFields(metadata_.attempt, retryAfter) }, {});
     finish(status, "refused", why);
 }
 
@@ -310,7 +312,7 @@
 {
     const auto self = shared_from_this();
     delivered_ = Delivered::Everything;
-    caller_->respond({ status, hosting::ownFields(facts_.attempt, std::nullopt) }, {});
+    caller_->respond({ status, hosting::ownFields(metadata_.attempt, std::nullopt) }, {});
     finish(status, "failed", why);
 }
 
@@ -336,7 +338,7 @@
     silenceTimer_.cancel();
     waitTimer_.cancel();
     if (admittingAgent_)
-        admittingAgent_->release(facts_.attempt);
+        admittingAgent_->release(metadata_.attempt);
     admittingAgent_ = nullptr;
     // A refused request has not run.
     if (charged_ && outcome == "refused")
@@ -346,7 +348,7 @@
     // Every other outcome is logged as a warning, since the logger may drop lines of lower levels.
     const auto ordinary = outcome == "answered" || outcome == "caller_gone";
     (ordinary ? log::info : log::warn)("request over",
-        { { "request", facts_.attempt.str() }, { "route", name }, { "outcome", std::string(outcome) },
+        { { "request", metadata_.attempt.str() }, { "route", name }, { "outcome", std::string(outcome) },
             { "status", std::to_string(status) }, { "reason", std::string(why) },
             { "member", member_ ? member_->name.str() : "" },
             { "configuration_age_ms", member_ ? millisecondsText(gateway_.configuration.age()) : "" },
@@ -370,8 +372,8 @@
         ? millisecondsText(gateway_.now() - agent->state().receivedAt)
         : "";
     log::info(event,
-        { { "request", facts_.attempt.str() }, { "replica", replica_ ? replica_->id().str() : "" },
-            { "adapter", facts_.adapter.str() }, { "reason", std::string(why) }, { "state_age_ms", age },
+        { { "request", metadata_.attempt.str() }, { "replica", replica_ ? replica_->id().str() : "" },
+            { "adapter", metadata_.adapter.str() }, { "reason", std::string(why) }, { "state_age_ms", age },
             { "left_ms", millisecondsText(timeLeft()) } });
 }
 
--- a/packages/serving/RequestRun.h
+++ b/packages/serving/RequestRun.h
@@ -35,7 +35,7 @@
     /// Checks the key against the current configuration before each send. Returns false if the request was rejected.
     [[nodiscard]] auto keyStillValid() -> bool;
     auto takeQuota() -> void;
-    auto onQuotaVerdict(const QuotaCharge& charge, const QuotaDecision& verdict) -> void;
+    auto onQuotaDecision(const QuotaCharge& charge, const QuotaDecision& decision) -> void;
     [[nodiscard]] auto priority() const -> std::uint32_t;
     auto place() -> void;
     auto proceedAtReplica() -> void;
@@ -102,7 +102,7 @@
     GatewayContext& gateway_;
     std::shared_ptr<CallerExchange> caller_;
     wire::HttpRequestMessage request_;
-    RequestMetadata facts_;
+    RequestMetadata metadata_;
     std::shared_ptr<const ServingConfiguration> configuration_;
     const RouteRecord* route_ = nullptr;
     /// The member that sent the request; null where no key is required.
--- a/packages/serving/SuspectRequests.cpp
+++ b/packages/serving/SuspectRequests.cpp
@@ -15,11 +15,12 @@
 
 } // namespace
 
-auto digestOf(const wire::HttpRequestMessage& request, const RequestMetadata& facts, const MemberId& member)
+auto digestOf(const wire::HttpRequestMessage& request, const RequestMetadata& metadata, const MemberId& member)
     -> std::string
 {
     auto hash = hashed(0, request.method);
-    for (const auto* text : { &request.target, &facts.model.str(), &facts.adapter.str(), &request.body, &member.str() })
+    for (const auto* text :
+        { &request.target, &metadata.model.str(), &metadata.adapter.str(), &request.body, &member.str() })
         hash = hashed(hash, *text);
     return std::to_string(hash);
 }
--- a/packages/serving/SuspectRequests.h
+++ b/packages/serving/SuspectRequests.h
@@ -37,6 +37,6 @@
 
 /// Hash of what a replica would run and for which member: method, target, model, adapter, body and member.
 [[nodiscard]] auto digestOf(
-    const wire::HttpRequestMessage& request, const RequestMetadata& facts, const MemberId& member) -> std::string;
+    const wire::HttpRequestMessage& request, const RequestMetadata& metadata, const MemberId& member) -> std::string;
 
 } // namespace eelgrass::serving
