--- a/packages/serving/AdapterHolders.h
+++ b/packages/serving/AdapterHolders.h
@@ -10,7 +10,7 @@
 /// Index of the replicas that hold each adapter, according to the platform's list.
 class AdapterHolders {
 public:
-    /// Replaces the adapters `before` of a replica by `after`.
+    /// Records that a replica holds the adapters `after` instead of `before`.
     auto note(const ReplicaPtr& replica, const std::map<AdapterName, AdapterVersion>& before,
         const std::map<AdapterName, AdapterVersion>& after) -> void
     {
--- a/packages/serving/CallerConnection.h
+++ b/packages/serving/CallerConnection.h
@@ -35,7 +35,8 @@
     struct Hooks {
         std::function<void(std::shared_ptr<CallerExchange>, wire::HttpRequestMessage)> onRequest;
         std::function<void(CallerConnection*)> onClosed;
-        /// An answer was written for a request that is over, or in the wrong order. It did not reach the client.
+        /// A handler wrote to a closed exchange, or wrote the parts of an answer in the wrong order. The bytes were not
+        /// sent.
         std::function<void()> onMisuse {};
     };
     /// Number of a request on its connection, starting from 1.
@@ -48,7 +49,7 @@
     auto setLimits(const CallerLimits& limits) -> void;
     /// Closes the connection after its next answer, which announces the close.
     auto closeSoon() -> void;
-    /// Closes the connection if it has no request.
+    /// Closes the connection if no request is being read or answered on it.
     auto closeIfIdle() -> void;
     /// Resets the connection, even while a request is served.
     auto abort() -> void;
--- a/packages/serving/CallerExchange.h
+++ b/packages/serving/CallerExchange.h
@@ -40,7 +40,8 @@
     [[nodiscard]] auto open() const noexcept -> bool { return connection_->isCurrent(number_); }
 
 private:
-    /// Whether `step` is allowed now, in a streamed answer or not; otherwise counts and logs the misuse.
+    /// Whether `step` is allowed now: the exchange is open, and a streamed answer has begun exactly if `streaming` is
+    /// set. Otherwise counts and logs the misuse, and aborts a streamed answer that has begun.
     [[nodiscard]] auto allows(std::string_view step, bool streaming) -> bool;
 
     std::shared_ptr<CallerConnection> connection_;
--- a/packages/serving/ConfigurationFollower.cpp
+++ b/packages/serving/ConfigurationFollower.cpp
@@ -11,15 +11,15 @@
 constexpr auto table = "op";
 constexpr auto configurationKey = "config";
 constexpr auto versionPrefix = std::string_view("version/");
-// Share of the bound after which a long poll without changes ends. A dead connection is detected shortly after that,
-// within the time in which a host must be in contact again. A shorter poll would cost more calls, and each call to the
-// store is billed.
+// Share of `Bounds::inForce` after which a long poll without changes ends. A dead connection is detected shortly after
+// that, within the time in which a host must be in contact again. A shorter poll would cost more calls, and each call
+// to the store is billed.
 constexpr auto pollShare = 0.75;
-// With keys, the poll is a fifth of the bound for keys: the configuration ages by the poll, by the interval at which
-// the reader of the zone is asked, and by the time for which entries continue without the store. Three fifths are left
-// for that time.
+// If keys are in use, a long poll lasts at most a fifth of `Bounds::keys`: the configuration ages by the poll, by the
+// interval at which the reader of the zone is asked, and by the time for which entries continue without the store.
+// Three fifths are left for that time.
 constexpr auto keyPollShare = 0.2;
-// Part of the bound for keys reserved for a request in transit to a replica and for a process that is slow to send it.
+// Part of `Bounds::keys` reserved for a request in transit to a replica and for a process that is slow to send it.
 constexpr auto keyMargin = Duration(300ms);
 // Share of the bound between the first reading and the first long poll. Most entries have found their zone's reader by
 // then and need no poll of their own.
@@ -84,7 +84,7 @@
     } else {
         if (std::exchange(storeReachable_, false))
             log::warn("store lost", { { "step", "configure" }, { "reason", answer.reason } });
-        // With a bound for keys, the configuration expires too soon for a follower's longer delay.
+        // If `Bounds::keys` is set, the configuration could expire within the longer retry interval of a follower.
         wait = decisions::SharedReading::retryInterval(bounds_.keys ? decisions::SharedReading::Role::Alone : role_);
     }
     pollTimer_ = loop_.timers().after(wait, [this] { poll(); });
@@ -105,12 +105,13 @@
 
 auto ConfigurationFollower::refreshIfStale() -> void
 {
-    // More than one interval, as the data is slightly older than that when the answer to a regular long poll arrives.
+    // More than one interval, because the configuration is slightly older than one interval when a regular long poll
+    // ends.
     constexpr auto staleIntervals = 1.25;
     const auto interval = decisions::SharedReading(bounds_.inForce).sharedInterval();
     if (!knownVersion_ || age() <= std::chrono::duration_cast<Duration>(staleIntervals * interval))
         return;
-    // A failing store is retried by the poll alone.
+    // While the store fails, only the long poll retries it.
     if (refreshing_ || !storeReachable_)
         return;
     refreshing_ = true;
--- a/packages/serving/ConfigurationFollower.h
+++ b/packages/serving/ConfigurationFollower.h
@@ -50,8 +50,8 @@
     /// The version that requests for an adapter must run; version 1 unless the operator has set a newer one.
     [[nodiscard]] auto versionOf(const BaseModel& model, const AdapterName& adapter) const -> AdapterVersion;
 
-    /// Applies another entry's configuration, which was the newest at `at` or later. `text` is empty if it is not newer
-    /// than this entry's. Returns whether a new configuration came into force.
+    /// Applies another entry's configuration, which was the newest at `at` or later. `text` is empty if that
+    /// configuration is not newer than this entry's own. Returns whether a new configuration came into force.
     auto applyFromPeer(std::string_view text, Moment at, std::string_view source) -> bool;
     /// Applies a configuration if it is newer. Returns false if it cannot be parsed.
     auto applyConfiguration(std::string_view text, std::string_view source) -> bool;
@@ -73,8 +73,8 @@
     auto applyRows(const hosting::StoreAnswer& answer) -> void;
     auto applyRow(const hosting::Row& row) -> void;
     auto noteConfirmed(const hosting::StoreAnswer& answer) -> void;
-    /// Reads the table without waiting for the pending long poll if the configuration was confirmed too long ago to
-    /// spare other entries their own polls.
+    /// Reads the table at once, without waiting for the pending long poll, if the configuration was confirmed so long
+    /// ago that the entries of the zone would poll the store themselves.
     auto refreshIfStale() -> void;
     [[nodiscard]] auto pollWait() const -> Duration;
 
--- a/packages/serving/GatewayContext.h
+++ b/packages/serving/GatewayContext.h
@@ -13,7 +13,7 @@
 
 namespace eelgrass::serving {
 
-/// Services and state shared by all requests of one entry.
+/// Services and state shared by all requests of one entry, that is, one gateway process.
 struct GatewayContext {
     wire::MainLoop& loop;
     const GatewaySettings& settings;
--- a/packages/serving/GatewayRole.cpp
+++ b/packages/serving/GatewayRole.cpp
@@ -147,7 +147,7 @@
     // names a reader.
     if (!std::exchange(directoryStarted_, true))
         directory_.start();
-    // If another entry has a still newer configuration, the next update of an agent shows it.
+    // If another entry has a still newer configuration, the next state update from an agent reports its version.
     behindSince_.reset();
 }
 
--- a/packages/serving/GatewayRole.h
+++ b/packages/serving/GatewayRole.h
@@ -13,7 +13,7 @@
 
 namespace eelgrass::serving {
 
-/// `--role=gateway`: accepts requests from clients and forwards them to replicas.
+/// `--role=gateway`: accepts requests from clients and forwards them to replicas. A gateway process is called an entry.
 ///
 /// On a planned stop the gateway reports itself not ready, so that the platform sends no new connections. Connections
 /// that arrive anyway are served. Each answer closes its connection, idle connections are closed once the platform must
@@ -44,7 +44,7 @@
     auto onState(const ReplicaSnapshot& state) -> void;
     auto countEntries() -> void;
     auto askPeer(const Endpoint& peer, std::string_view why) -> void;
-    /// Asks one peer, in turn, if the store does not supply a current configuration or list.
+    /// If the store does not supply a current configuration or list, asks one peer for them, the next one at each call.
     auto askPeers() -> void;
     auto applyPeerAnswer(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
     /// Chooses the entry that reads the store for this zone, by the votes of the zone's agents, and sets this entry's
@@ -54,7 +54,7 @@
     auto applyReaderAnswer(ReaderLink::Answer answer, const Endpoint& reader, Moment asked) -> void;
     auto applyList(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
     auto applyConfiguration(ReaderLink::Answer answer, Moment asked, const std::string& peer) -> void;
-    /// Observes the metric for a change that came into force here, `age` after it was read from the store.
+    /// Records in a metric that a change came into force at this entry, `age` after it was read from the store.
     auto observeInForce(const std::string& what, Duration age) -> void;
     /// Peers to ask when the store is unreachable: the seeds from the settings, and the readers of the zones.
     [[nodiscard]] auto peersToAsk() const -> std::vector<Endpoint>;
@@ -84,7 +84,7 @@
     bool askingPeer_ = false;
     bool directoryStarted_ = false;
     Moment peerAskedAt_ {};
-    /// When another entry was first seen to have a newer configuration; empty while none is known to.
+    /// When another entry was first seen to have a newer configuration; empty while no such entry is known.
     std::optional<Moment> behindSince_;
     bool stopping_ = false;
     Moment stopBegan_ {};
--- a/packages/serving/MemberQuotas.cpp
+++ b/packages/serving/MemberQuotas.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Agents that count one member's usage.
+// Number of agents that count one member's usage.
 constexpr auto countersPerMember = std::size_t(2);
 // An agent answers within a few milliseconds, and within some tens of milliseconds on a host that has become slow.
 constexpr auto answerTimeout = Duration(80ms);
-// How long an agent that did not answer is avoided. It is frozen or unreachable, and every request would wait for it.
+// How long an agent that did not answer is avoided. Such an agent is frozen or unreachable, and every request would
+// wait for it.
 constexpr auto avoidTime = Duration(2s);
 // Share of the allowed overage per window that one agent grants; the rest covers entries that briefly ask different
 // agents.
--- a/packages/serving/ReaderLink.cpp
+++ b/packages/serving/ReaderLink.cpp
@@ -61,7 +61,7 @@
     pendingQuery_ = sendQuery().eagerlyEvaluate([this](kj::Exception&& error) {
         log::warn("reader not reached", { { "peer", reader_->str() }, { "reason", error.getDescription().cStr() } });
         queryPending_ = false;
-        // Dropped from the event loop, as this runs within the session's own promise.
+        // The session is destroyed from the event loop, because this handler runs within the session's own promise.
         dropTimer_ = loop_.timers().after(Duration(0), [this] { session_.reset(); });
     });
 }
--- a/packages/serving/ReaderLink.h
+++ b/packages/serving/ReaderLink.h
@@ -19,7 +19,7 @@
     using Query = wire::schema::EntryPeer::ChangesParams::Builder;
     using Answer = wire::schema::EntryPeer::ChangesResults::Reader;
     struct Hooks {
-        /// Fills in the versions that this entry already has.
+        /// Sets in the query which versions this entry already has.
         std::function<void(Query)> fillQuery;
         /// `asked` is when the query was sent; the data in the answer may be that old.
         std::function<void(Answer, const Endpoint& reader, Moment asked)> onAnswer;
@@ -30,7 +30,7 @@
 
     /// Sets the reader to ask; empty for none.
     auto follow(const std::optional<Endpoint>& reader) -> void;
-    /// Asks again before the interval ends, for a reader whose data is old because it has only just become the reader.
+    /// Asks the reader again before the interval ends. Used when its data is old because it has just become the reader.
     auto askSoon() -> void;
     [[nodiscard]] auto reader() const noexcept -> const std::optional<Endpoint>& { return reader_; }
 
@@ -38,7 +38,7 @@
     struct Session {
         explicit Session(kj::Own<wire::GlibStream> stream);
         wire::Connection connection;
-        /// Requested when the connection is made; bootstrapping fails on a connection that the peer has since closed.
+        /// Bootstrapped when the connection is made, since bootstrapping fails once the peer has closed the connection.
         wire::schema::EntryPeer::Client peer;
     };
     auto ask() -> void;
--- a/packages/serving/ReplicaDirectory.cpp
+++ b/packages/serving/ReplicaDirectory.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr auto table = "servers";
-// Number of candidates for a request among the replicas without a session: those preferred by the adapter's name, the
-// same at every entry, and holders of the adapter.
+// Number of candidates for a request among the replicas without a session. Two are chosen by the hash of the adapter's
+// name, the same at every entry; the others hold the adapter.
 constexpr auto preferredPerAdapter = std::size_t(2);
 constexpr auto holdersPerSharedPart = std::size_t(2);
 constexpr auto holdersPerEntry = std::size_t(1);
@@ -24,7 +24,7 @@
 
 using AdapterVersions = std::map<AdapterName, AdapterVersion>;
 
-/// Whether the records differ only in fields that peers need not be sent; heartbeats change those once a second.
+/// Whether the records are equal in the fields that peers need. Heartbeats change the other fields once a second.
 auto samePublishedState(const ReplicaRecord& left, const ReplicaRecord& right) -> bool
 {
     return left.service == right.service && left.endpoint == right.endpoint && left.zone == right.zone
@@ -76,7 +76,7 @@
 auto ReplicaDirectory::setReadingRole(decisions::SharedReading::Role role) -> void
 {
     using Role = decisions::SharedReading::Role;
-    // The list may be as old as the interval of an entry that reads for itself, too old for the followers to rely on.
+    // An entry that reads only for itself reads at longer intervals, so its list may be too old for followers.
     if (role == Role::Reader && role_ != Role::Reader && readTimer_.active())
         readTimer_ = loop_.timers().after(Duration(0), [this] { poll(); });
     role_ = role;
@@ -128,7 +128,8 @@
     readTimer_ = loop_.timers().after(interval, [this] { poll(); });
 }
 
-/// Changes recorded after this call are attributed to this reading.
+/// Raises the upper bound on the versions of all changes read so far. Changes recorded after this call belong to the
+/// reading that reported `newestVersion`.
 auto ReplicaDirectory::advanceNewestVersion(std::uint64_t newestVersion) -> void
 {
     newestVersion_ = std::max(newestVersion_, newestVersion);
@@ -212,10 +213,10 @@
     if (!read)
         return applyUnreadableRow(listed, failure);
     auto& replica = replicas_[listed.instance];
-    // A peer's list may be older than this entry's.
+    // A row from a peer may be older than the row that this entry has.
     if (replica && listed.version < replica->listVersion())
         return;
-    // The earlier start of the replica is over. Requests that run there see that it is leaving.
+    // The replica was restarted. Requests sent to its previous start see that this start is leaving.
     if (replica && !sameStart(replica->record().start, read->start)) {
         if (!replica->confirmsNewerStart(read->start.startTime, listed.version))
             return;
@@ -246,7 +247,7 @@
 }
 
 /// Sends no new requests to the replica until its row is readable. If another writer has overwritten the row, the
-/// replica's next heartbeat restores it. Requests that run there continue.
+/// replica's next heartbeat restores it. Requests already running on the replica continue.
 auto ReplicaDirectory::applyUnreadableRow(const ListedReplica& listed, const std::string& reason) -> void
 {
     const auto known = replicas_.find(listed.instance);
@@ -431,8 +432,8 @@
     }
     if (fullMesh_)
         return found;
-    // Requests with the same shared part go to the same few holders, to reuse its prefill; one further holder per entry
-    // spreads the load.
+    // Requests with the same shared part of the prompt go to the same few holders, to reuse the prefill of that part.
+    // One further holder per entry spreads the load.
     auto byPart = decisions::FirstByRendezvous<ReplicaPtr>(sharedKey, holdersPerSharedPart);
     auto byEntry = decisions::FirstByRendezvous<ReplicaPtr>(sharedKey ^ entryHash_, holdersPerEntry);
     for (const auto& replica : holders_.of(query.adapter)) {
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -29,7 +29,7 @@
         std::function<void(Duration age)> onLeaving {};
     };
 
-    /// Identity of this entry, and its obligations to agents and to replicas that leave.
+    /// Identity of this entry, what it tells agents, and its time limit for replicas that leave.
     struct Options {
         std::string entry;
         AvailabilityZone zone {};
@@ -56,8 +56,9 @@
     auto configure(std::shared_ptr<const ServingConfiguration> configuration, const std::string& holder) -> void;
     /// Replicas of a service; empty if there are none.
     [[nodiscard]] auto replicasOf(const ServiceName& service) const -> const std::vector<ReplicaPtr>&;
-    /// Replicas of the service that meet the condition. If there is a session with every agent, all of them; otherwise
-    /// those whose state is known and a few others, chosen by the adapter's name and among its holders.
+    /// Replicas of the service that meet the condition. The result has all of them if this entry has a session with
+    /// every agent. Otherwise it has those without an agent or with a session, and a few others, which are chosen by
+    /// the adapter's name and among the replicas that hold the adapter.
     [[nodiscard]] auto candidates(const CandidateQuery& query, const Condition& condition) const
         -> std::vector<ReplicaPtr>;
     [[nodiscard]] auto all() const noexcept -> const std::map<InstanceId, ReplicaPtr>& { return replicas_; }
--- a/packages/serving/ReplicaLeg.cpp
+++ b/packages/serving/ReplicaLeg.cpp
@@ -9,9 +9,10 @@
 // Connecting within a region takes a few milliseconds. A lost SYN is repeated only after a second, by which time
 // another replica would have answered.
 constexpr auto connectTimeout = Duration(400ms);
-// A request that must not be sent again is lost if the replica is just closing the connection that it is sent on.
+// Longest idle time of a connection that is reused for a request that must not be sent again. Such a request is lost if
+// the replica is just closing the connection.
 constexpr auto maxIdleForNonRepeatable = Duration(500ms);
-// Used when the replica sends no Keep-Alive timeout.
+// Idle timeout that is assumed if the replica sends no Keep-Alive timeout.
 constexpr auto defaultIdleTimeout = std::chrono::seconds(4);
 
 } // namespace
--- a/packages/serving/RequestAnswer.cpp
+++ b/packages/serving/RequestAnswer.cpp
@@ -137,8 +137,8 @@
         return retry("replica failed");
     if (delivered_ == Delivered::Part)
         return giveUp("stream not resumed");
-    // Not forwarded: an answer without the replica's seal, and a status that promises that the request has not run
-    // without the header that confirms it.
+    // An answer without the replica's seal is not forwarded. A status that promises that the request has not run is not
+    // forwarded without the header that confirms this.
     if (!metadata.sealed || promisesNotRun(head_.status))
         return fail(badGateway, "answer not to be trusted");
     delivered_ = Delivered::Everything;
--- a/packages/serving/RequestPlacing.cpp
+++ b/packages/serving/RequestPlacing.cpp
@@ -93,8 +93,8 @@
     const auto* agent = replica.agent();
     if (!agent || !agent->alive())
         return true;
-    // After a restart the old and the new start of a replica are both listed for a while, at one address and with one
-    // agent.
+    // After a restart the old and the new start of a replica are both listed for a while, with the same address and the
+    // same agent.
     return agent->state().usable && sameStart(agent->state().start, replica.record().start);
 }
 
@@ -275,7 +275,7 @@
     if (result.late)
         return onLateRefusal(result);
     tried_.insert(replica_->id());
-    // Another replica may be free, but only a few are asked, since each answer takes time.
+    // Another replica may be free, but each query takes time, so only a few replicas are asked.
     if (tried_.size() >= maxSends)
         return refuse(result.reason, result.retryAfter);
     lateReplicas_.clear();
--- a/packages/serving/RequestRun.cpp
+++ b/packages/serving/RequestRun.cpp
@@ -246,7 +246,7 @@
         return giveUp(why);
     if (replica_)
         tried_.insert(replica_->id());
-    // Continues from the event loop, as this may run within a connection's callback.
+    // The next choice is made from the event loop, because `retry` may run within a connection's callback.
     waitTimer_ = gateway_.loop.timers().after(Duration(0), guarded(&RequestRun::place));
 }
 
@@ -261,7 +261,7 @@
     replica_->requestEnded();
     if (!keepConnection)
         connection_->abort();
-    // Returned to the pool from the event loop, as this may run within the connection's own callback.
+    // The connection is returned to the pool from the event loop, because this function may run within its callback.
     gateway_.deferred.add([held = std::move(connection_), replica = replica_] { replica->pool().giveBack(held); });
     connection_.reset();
 }
@@ -361,7 +361,7 @@
     gateway_.metrics.observe("eelgrass_request_seconds", member, RequestClass(name), now - beganAt_);
     gateway_.metrics.count("eelgrass_requests_total",
         { { "class", name }, { "outcome", std::string(outcome) }, { "status", std::to_string(status) } });
-    // Destroyed from the event loop, as this may run within the promise's own callback.
+    // The promise is destroyed from the event loop, because this function may run within the promise's own callback.
     gateway_.deferred.add([self = shared_from_this()] { self->admission_ = nullptr; });
 }
 
--- a/packages/serving/RequestRun.h
+++ b/packages/serving/RequestRun.h
@@ -45,20 +45,21 @@
     auto sessionFailed() -> void;
     struct Choice {
         ReplicaPtr replica;
-        /// Expected wait until the request starts there, from the figures that this entry has.
+        /// Expected wait until the request starts at `replica`, estimated from the data that this entry has.
         Duration start {};
     };
     [[nodiscard]] auto chooseReplica() -> std::optional<Choice>;
     /// Whether the replica can take this request: it is usable and has not been tried.
     [[nodiscard]] auto isEligible(const Replica& replica, Moment now) const -> bool;
-    /// Whether the replica is eligible and has not answered that the request would start late there.
+    /// Whether the replica is eligible and has not refused the request because it would start late.
     [[nodiscard]] auto isCandidate(const Replica& replica, Moment now) const -> bool;
     [[nodiscard]] auto viewOf(const ReplicaPtr& replica, Duration fastest, double readRate) const
         -> decisions::ReplicaView;
     auto waitForPlace() -> void;
     auto admit() -> void;
     auto onAdmitResult(const AdmitResult& result) -> void;
-    /// The replica answered that the request would start late there: moves it to one where it starts sooner, if any.
+    /// Called when the replica refused admission because the request would start late. Moves the request to a replica
+    /// that is expected to start it sooner, if there is one.
     auto onLateRefusal(const AdmitResult& result) -> void;
     auto checkAgent() -> void;
     auto abandonAdmission(std::string_view why) -> void;
@@ -115,14 +116,14 @@
     Moment endAt_ {};
     /// When a client that has received no event of its stream is assumed to disconnect.
     Moment firstEventBy_ {};
-    /// Identifies what would run and for which member; the same at every entry.
+    /// Hash of the request's content and member (see `digestOf`); the same at every entry.
     std::string digest_;
     /// Prefixes of the prompt that other requests may share, each ending with one more part.
     std::vector<decisions::SharedPrefix> sharedPrefixes_;
 
     ReplicaPtr replica_;
     std::set<InstanceId> tried_;
-    /// Replicas that answered that the request would start late there. `soonestReplica_` is the one of them with the
+    /// Replicas that refused the request because it would start late. Of these, `soonestReplica_` announced the
     /// earliest start.
     std::set<InstanceId> lateReplicas_;
     std::uint32_t lateRedirects_ = 0;
--- a/packages/serving/SuspectRequests.h
+++ b/packages/serving/SuspectRequests.h
@@ -8,12 +8,12 @@
 
 namespace eelgrass::serving {
 
-/// Detects requests that repeatedly break off at replicas, as seen by all entries.
+/// Detects requests whose runs repeatedly break off at replicas, counted over all entries.
 ///
-/// A request may crash every replica that runs it, and its client may send it again at any entry. Each break is
-/// reported to one agent, the same for all entries, and returned in that agent's state, so that the entries share the
-/// count. A successful run resets the count. After three breaks without a success in between, the request itself is
-/// taken to be the cause.
+/// A request may crash every replica that runs it, and its client may send it again at any entry. Every entry
+/// reports a break of the request to the same agent and gets the count back in that agent's state, so that the entries
+/// share the count. A successful run resets the count. After three breaks without a success in between, the request
+/// itself is taken to be the cause.
 class SuspectRequests {
 public:
     /// Number of breaks after which a request is blocked.
--- a/packages/serving/detail/RunLimits.h
+++ b/packages/serving/detail/RunLimits.h
@@ -23,28 +23,29 @@
 inline constexpr auto lowestPriority = 9U;
 // Sends of one attempt, including those that a replica refused. After a third refusal the service is taken to be full.
 inline constexpr auto maxSends = 4U;
-// Replicas that may turn a request away because it would start late there. Each costs a round trip, and if all are
-// late, asking more of them does not help.
+// Number of replicas that may refuse a request because it would start late. Each refusal costs a round trip, and if all
+// replicas are late, asking more of them does not help.
 inline constexpr auto maxLateRedirects = 2U;
 // Time reserved so that the answer reaches the client before its deadline.
 inline constexpr auto answerMargin = Duration(40ms);
-// A request is not sent with less time left than this: a round trip within a zone and the shortest run.
+// A request is not sent with less time left than this, which covers a round trip within a zone and the shortest run.
 inline constexpr auto minTimeToSend = Duration(10ms);
-// A process that has just started gets the configuration within some tens of milliseconds; a refused client would retry
-// much later than that.
+// How long a request waits for the first configuration. A process that has just started gets it within some tens of
+// milliseconds; a refused client would retry much later.
 inline constexpr auto configurationWait = Duration(250ms);
-// Delay before the next choice when no replica can be tried, for example because it is resting after failures or its
-// agent is being connected.
+// Delay before the next choice when no replica can be tried, for example because replicas are avoided after failures or
+// sessions with their agents are being opened.
 inline constexpr auto placementRetryDelay = Duration(25ms);
-// Opening a session with an agent usually takes a few milliseconds, and a few hundred on a slow host.
+// Time limit for opening a session with an agent, which usually takes a few milliseconds, and a few hundred on a slow
+// host.
 inline constexpr auto sessionOpenLimit = Duration(400ms);
 // How often a pending admission checks that its agent still responds.
 inline constexpr auto agentCheckInterval = Duration(250ms);
 // A stream that can be resumed is moved to another replica after this silence, well before its client gives up, which
 // takes at least two seconds.
 inline constexpr auto streamSilenceLimit = Duration(1200ms);
-// A replica that has not begun to answer after this time when the request's deadline passes counts as failed: prefill
-// takes less than a second.
+// A replica counts as failed if, when a request's deadline passes, the request was sent longer ago than this and
+// the replica has sent no event. Prefill takes less than a second.
 inline constexpr auto failureSilence = Duration(1500ms);
 // Retry-After for clients when there is no estimate; by then a replica has usually recovered or has a free slot.
 inline constexpr auto defaultRetryAfter = std::chrono::milliseconds(300);
