--- a/packages/router/AdapterTable.h
+++ b/packages/router/AdapterTable.h
@@ -25,7 +25,7 @@
 /// ```
 class AdapterTable {
 public:
-    /// The JSON text of an adapter; null if there is none of this name.
+    /// The JSON text of an adapter; null if no adapter has this name.
     [[nodiscard]] auto find(std::string_view name) const -> const std::string*;
     [[nodiscard]] auto size() const noexcept -> std::size_t { return size_; }
     auto set(const AdapterId& name, std::string text) -> void;
--- a/packages/router/Configuration.h
+++ b/packages/router/Configuration.h
@@ -42,7 +42,7 @@
 
 struct ClassRecord {
     std::chrono::milliseconds deadline { 60000 };
-    /// Share of a contended target relative to other classes.
+    /// The share of a contended target that this class gets, relative to other classes.
     std::uint32_t weight = 1;
 };
 
@@ -55,8 +55,8 @@
     RequestClass requestClass;
 };
 
-/// `model` with its name and version taken from `name`, for a call that runs or has run on that version, whichever
-/// version is in force now. Unchanged if `name` contains no valid version.
+/// Returns `model` with its name and version replaced by those in `name`, or unchanged if `name` contains no valid
+/// version. Used for a call that runs or has run on that version, even if another version is in force now.
 [[nodiscard]] auto withModelName(ResolvedModel model, const ModelName& name) -> ResolvedModel;
 
 /// One accepted version of the configuration. It is immutable; the next version shares all unpatched parts with it.
@@ -74,8 +74,8 @@
 
     Configuration();
 
-    /// The next version, made by a JSON merge patch (RFC 7396). Only the patched adapters are parsed and validated, and
-    /// the remaining sections only if the patch changes any of them.
+    /// The next version, made by a JSON merge patch (RFC 7396). Parses and validates only the patched adapters, and the
+    /// remaining sections only if the patch changes any of them.
     [[nodiscard]] auto patched(ConfigVersion version, const Json& patch) const -> Result<Configuration>;
 
     [[nodiscard]] auto version() const noexcept -> ConfigVersion { return version_; }
@@ -89,9 +89,9 @@
     [[nodiscard]] auto service(const std::string& name) const -> const ServiceRecord*;
     /// Targets that get no new work.
     [[nodiscard]] auto drained() const noexcept -> const std::set<TargetId>& { return sections_->drained; }
-    /// One adapter as JSON text; null if there is none of this name.
+    /// One adapter as JSON text; null if no adapter has this name.
     [[nodiscard]] auto adapterText(const std::string& name) const -> const std::string* { return adapters_.find(name); }
-    /// Any one member that may call the model; empty if there is none.
+    /// Any one member that may call the model; empty if no member may.
     [[nodiscard]] auto anyAllowedMember(std::string_view model) const -> MemberId;
     [[nodiscard]] auto requestClass(const RequestClass& name) const -> ClassRecord;
     [[nodiscard]] auto adapterCount() const noexcept -> std::size_t { return adapters_.size(); }
--- a/packages/router/Poller.cpp
+++ b/packages/router/Poller.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A configuration must be in force within 12 s. The longest interval between polls after an outage, with its jitter,
-// leaves half of that.
+// A configuration must be in force within 12 s. The longest interval between polls after an outage, including its
+// jitter, leaves half of that time.
 constexpr auto longestInterval = Duration(4s);
 
 } // namespace
--- a/packages/router/Poller.h
+++ b/packages/router/Poller.h
@@ -15,10 +15,10 @@
 public:
     using Poll = std::function<kj::Promise<void>()>;
 
-    /// `subject` says in the log line of a failure what could not be read.
+    /// `subject` names what is read; it appears in the log line of a failed read.
     Poller(wire::MainLoop& loop, std::string subject, Duration period, Poll poll);
 
-    /// Polls now and then periodically.
+    /// Polls at once, and then periodically.
     auto start() -> void { pollOnce(); }
 
 private:
--- a/packages/router/TargetRole.cpp
+++ b/packages/router/TargetRole.cpp
@@ -15,10 +15,11 @@
 constexpr auto stopPollPeriod = Duration(50ms);
 constexpr auto supersededExitCode = 3;
 // An entry that waits for an answer acknowledges chunks or sends a heartbeat every second, and closes a session that is
-// silent for three. An entry that is silent for longer is gone, and its answers would otherwise wait for it forever.
+// silent for three seconds. An entry that is silent for longer than this limit is gone; without the limit, its answers
+// would wait for it forever.
 constexpr auto activeSilenceLimit = Duration(5s);
-// On a session without an answer in progress an entry sends a heartbeat once a minute; this allows for two of them and
-// a margin.
+// On a session without an answer in progress an entry sends a heartbeat once a minute; this limit allows for two
+// heartbeats and a margin.
 constexpr auto idleSilenceLimit = Duration(150s);
 constexpr auto silenceCheckPeriod = Duration(1s);
 constexpr auto retryDelay = Duration(500ms);
@@ -42,7 +43,7 @@
     }
     ~Session() noexcept
     {
-        // A session may be destroyed with the event loop's last tasks, after the role.
+        // A session may be destroyed with the event loop's last tasks, after the role has been destroyed.
         if (!alive_.expired())
             role_.unsubscribe(number_);
     }
@@ -96,8 +97,9 @@
 
 private:
     /// After a pause of this process, pings the entry before an attempt is started. The process may resume with start
-    /// requests in its sockets from entries that gave it up long ago, and running them would use the engine for no one.
-    /// A closed session does not answer the ping, so its start requests are dropped with it.
+    /// requests in its sockets from entries that gave up on this process long ago, and running those requests would use
+    /// the engine for no one. A closed session does not answer the ping, so its start requests are dropped with the
+    /// session.
     auto confirmSession() -> kj::Promise<void>
     {
         const auto pauses = role_.fence_.pauseCount();
@@ -162,8 +164,8 @@
     attempts_->onChange([this] { scheduleStatePush(); });
     attempts_->setOwnershipCheck([this] { return fence_.confirmOwnership(); });
     fence_.onSuperseded([this] {
-        // Another process owns the target. Entries reconnect to that process when they lose their sessions here, and it
-        // adopts the streams that the engine runs.
+        // Another process owns the target. Entries reconnect to that process when they lose their sessions here, and
+        // that process adopts the streams that the engine runs.
         attempts_->setLeaving();
         loop_.quit(supersededExitCode);
     });
@@ -171,7 +173,7 @@
 
 TargetRole::~TargetRole()
 {
-    // Released first, so that callbacks of the closing sessions do not use a partly destroyed role.
+    // The pointer is released first, so that callbacks of the closing sessions do not use a partly destroyed role.
     alive_.reset();
     connections_.clear();
     subscribers_.clear();
@@ -258,7 +260,7 @@
 auto TargetRole::dropConnection(const std::shared_ptr<EntryConnection>& entry) -> void
 {
     connections_.remove(entry);
-    // Destroyed in a later event loop turn, because the connection may be on the stack when it reports that it is
+    // The connection is destroyed in a later event loop turn, because it may be on the stack when it reports that it is
     // closed.
     loop_.spawn(kj::evalLater([] {}).then([] { return kj::evalLater([] {}); }).attach(kj::heap(entry)));
 }
--- a/packages/router/TargetRole.h
+++ b/packages/router/TargetRole.h
@@ -38,13 +38,14 @@
     friend class Session;
     /// An entry session that receives this target's state.
     struct Subscriber {
-        /// Identifies the session. The entry's name would not: a reconnecting entry has two sessions for a while.
+        /// Identifies the session. The entry's name does not identify it, because a reconnecting entry has two sessions
+        /// for a while.
         std::uint64_t session = 0;
         std::string name;
         wire::schema::EntryListener::Client listener;
     };
 
-    /// When an entry last sent anything on its connection, and which answers it waits for.
+    /// When an entry last sent anything on its connection, and which answers the entry waits for.
     struct EntryActivity {
         Moment at;
         /// Attempts whose answers the entry still waits for.
@@ -94,8 +95,8 @@
     Timer engineTimer_;
     wire::Listener listener_;
     wire::HttpServer metricsServer_;
-    /// Declared last so that it is destroyed first. Objects that outlive the role hold a weak pointer to it, by which
-    /// they see that the role is gone.
+    /// Declared last so that it is destroyed first. Objects that outlive the role hold a weak pointer to this member,
+    /// which shows them that the role is gone.
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/packages/router/controllers/AttemptsController.cpp
+++ b/packages/router/controllers/AttemptsController.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// An ended attempt stays available to an entry that lost its session for longer than the entry needs to notice the loss
-// and to reconnect.
+// How long an ended attempt stays available to an entry that lost its session: longer than the entry needs to notice
+// the loss and to reconnect.
 constexpr auto endedRetention = Duration(60s);
-// A revocation is remembered for longer than a start request can sit in the socket of a suspended process.
+// How long a revocation is remembered: longer than a start request can stay in the socket of a suspended process.
 constexpr auto revocationRetention = Duration(600s);
 // A request that can no longer meet its deadline is refused within 50 ms of that moment.
 constexpr auto expiryPeriod = Duration(40ms);
@@ -69,7 +69,7 @@
     queue_.push_back(attempt);
     if (slots_)
         slots_->recordDemand(attempt->request.model);
-    // Deferred to the next event loop turn, so that the acceptance is sent before the first chunk.
+    // The run is deferred to the next event loop turn, so that the acceptance is sent before the first chunk.
     loop_.spawn(kj::evalLater([this] { dispatch(); }));
     return std::nullopt;
 }
@@ -188,8 +188,8 @@
 auto AttemptsController::revoke(const AttemptId& id) -> Revoked
 {
     // An attempt whose start has arrived is shared rather than revoked. Of two simultaneous sends of a request, the
-    // second finds the claim of the first and may ask for its attempt just before the start arrives. If the second send
-    // revoked the attempt that is queued by then, both callers would be refused.
+    // second finds the claim of the first and may ask for the first send's attempt just before the start arrives. If
+    // the second send then revoked the attempt, which is queued by that time, both callers would be refused.
     const auto found = attempts_.find(id);
     if (found != attempts_.end())
         return found->second->output.has(ChunkNumber(0)) ? Revoked::Replayable : Revoked::AlreadyStarted;
--- a/packages/router/controllers/AttemptsController.h
+++ b/packages/router/controllers/AttemptsController.h
@@ -31,14 +31,15 @@
     /// Sets the check that runs before each attempt is sent to the engine or service. It resolves to `false` when
     /// another process owns the target.
     auto setOwnershipCheck(std::function<kj::Promise<bool>()> check) -> void { confirmOwner_ = std::move(check); }
-    /// While the engine is down, new attempts are refused. Setting `false` also rejects the queued ones.
+    /// While the engine is down, new attempts are refused. Setting `false` also rejects the queued attempts.
     auto setEngineAlive(bool alive) -> void;
     [[nodiscard]] auto engineAlive() const noexcept -> bool { return engineAlive_; }
     /// Refuses new attempts from now on; accepted attempts continue.
     auto setLeaving() -> void { leaving_ = true; }
     auto onChange(std::function<void()> callback) -> void { onChange_ = std::move(callback); }
 
-    /// Accepts or refuses an attempt. Empty if accepted; otherwise the reason why it did not run and never will.
+    /// Accepts or refuses an attempt. The result is empty if the attempt was accepted; otherwise it is the reason why
+    /// the attempt did not run and never will.
     [[nodiscard]] auto start(AttemptRequest request, wire::schema::ChunkSink::Client sink) -> std::optional<Error>;
     struct ResumeRequest {
         AttemptId attempt;
@@ -55,12 +56,12 @@
     /// Ends each adopted attempt that has no reader and that is missing from `streams`, the streams at the engine.
     auto reconcileEngineStreams(const std::vector<targets::EngineStream>& streams) -> void;
 
-    /// `Replayable`: the attempt was accepted, and its output is still available from the first chunk.
+    /// `Replayable` means that the attempt was accepted and that its output is still available from the first chunk.
     enum class Revoked { Yes, AlreadyStarted, Replayable };
-    /// After `Yes` the attempt has not started and never will, even if its start request arrives later.
+    /// If the result is `Yes`, the attempt has not started and never will, even if its start request arrives later.
     [[nodiscard]] auto revoke(const AttemptId& id) -> Revoked;
     auto cancel(const AttemptId& id) -> void;
-    /// Called when the ledger has stored the answer, so that its output need not be retained any longer.
+    /// Called when the ledger has stored the answer, so that the attempt's output need not be retained any longer.
     auto release(const AttemptId& id) -> void;
 
     /// Requests that were running here when the engine died, with their crash counts.
@@ -76,7 +77,8 @@
     [[nodiscard]] auto awaited(const AttemptId& id) const -> bool;
     [[nodiscard]] auto leaving() const noexcept -> bool { return leaving_; }
 
-    /// Starts every queued attempt that can run now, and requests loads for the adapters that the others wait for.
+    /// Starts every queued attempt that can run now, and requests loads for the adapters that the remaining attempts
+    /// wait for.
     auto dispatch() -> void;
 
 private:
--- a/packages/router/controllers/ConfigController.cpp
+++ b/packages/router/controllers/ConfigController.cpp
@@ -12,7 +12,8 @@
 
 constexpr auto headKey = "config/head";
 constexpr auto patchPrefix = "config/patch/";
-// Row that names the newest snapshot. It is written after the snapshot object, so that it never names a missing object.
+// The row that names the newest snapshot. The row is written after the snapshot object, so that it never names a
+// missing object.
 constexpr auto snapshotKey = "config/snapshot";
 constexpr auto snapshotPrefix = "config/snapshots/";
 // Patches whose numbers differ only in the last two digits form a group that one listing reads. With one snapshot per
--- a/packages/router/controllers/ConfigController.h
+++ b/packages/router/controllers/ConfigController.h
@@ -19,8 +19,8 @@
     /// JSON merge patch (RFC 7396).
     Json patch;
     std::string operatorName;
-    /// Identifies this submission, so that reading the patch's row shows whether it was accepted when the platform's
-    /// answer was lost.
+    /// Identifies this submission. If the platform's answer is lost, the patch's row shows by this ID whether the
+    /// submission was accepted.
     std::string requestId;
 };
 
--- a/packages/router/controllers/FenceController.cpp
+++ b/packages/router/controllers/FenceController.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // All target processes of a zone may start at once, perhaps while the platform is unavailable. Retrying at a fixed
-// interval of half a second, 440 processes would use the platform's whole read capacity. They back off, with jitter, to
-// one try every four seconds.
+// interval of half a second, 440 processes would use the platform's whole read capacity. The processes therefore back
+// off, with jitter, to one try every four seconds.
 constexpr auto retryDelay = Duration(500ms);
 constexpr auto longestRetryDelay = Duration(4s);
 constexpr auto ownerBytes = std::size_t(8);
--- a/packages/router/controllers/FenceController.h
+++ b/packages/router/controllers/FenceController.h
@@ -14,15 +14,15 @@
 /// platform's tables, and verified after every pause of the process before the next order to the engine or service.
 class FenceController {
 public:
-    /// `engineRejectsStale`: the engine itself refuses orders with an old epoch.
+    /// `engineRejectsStale` means that the engine itself refuses orders with an old epoch.
     FenceController(wire::MainLoop& loop, platform::PlatformClient& platform, TargetId target, bool engineRejectsStale);
 
     /// Raises the epoch, retrying until the platform answers. Resolves when orders may be sent.
     [[nodiscard]] auto raise() -> kj::Promise<void>;
     [[nodiscard]] auto epoch() const noexcept -> Epoch { return epoch_; }
-    /// Whether this process still owns the target. Without a pause since the last check it resolves at once. After a
-    /// pause it first reads the platform's row, retrying while the platform is unavailable, unless the engine rejects
-    /// stale epochs itself.
+    /// Whether this process still owns the target. Resolves at once if the process has not paused since the last check,
+    /// or if the engine rejects stale epochs itself. Otherwise reads the platform's row first, retrying while the
+    /// platform is unavailable.
     [[nodiscard]] auto confirmOwnership() -> kj::Promise<bool>;
     /// Called once, when another process has raised the epoch.
     auto onSuperseded(std::function<void()> callback) -> void { onSuperseded_ = std::move(callback); }
@@ -39,8 +39,8 @@
     PauseDetector pauseDetector_;
     /// The pause count at which ownership was last verified.
     std::uint64_t confirmedPauses_ = 0;
-    /// Identifies this process's own write, so that reading the row shows whether a write whose answer was lost
-    /// succeeded.
+    /// Identifies this process's own write. If the answer to the write is lost, the row shows by this ID whether the
+    /// write succeeded.
     std::string owner_;
     decisions::PollSchedule retrySchedule_;
     Epoch epoch_;
--- a/packages/router/controllers/LedgerController.cpp
+++ b/packages/router/controllers/LedgerController.cpp
@@ -13,7 +13,7 @@
 using Json = nlohmann::json;
 
 constexpr auto prefix = "run/";
-// Keeps a batch of claims small enough for one transaction; further claims go into the next.
+// Keeps a batch of claims small enough for one transaction; further claims go into the next transaction.
 constexpr auto batchLimit = std::size_t(64);
 // Answers up to this size are stored in the row; a larger one would slow down every read of the table.
 constexpr auto rowAnswerLimit = std::size_t(16) << 10U;
@@ -168,8 +168,8 @@
     pending_.push_back({ key, std::move(claim), version, kj::mv(pair.fulfiller) });
     if (!committing_) {
         committing_ = true;
-        // Deferred to the next event loop turn, so that the claims of this turn are written together. Claims that
-        // arrive during a transaction go into the next one.
+        // The write is deferred to the next event loop turn, so that the claims of this turn are written together.
+        // Claims that arrive during a transaction go into the next transaction.
         loop_.spawn(kj::evalLater([this] { flush(); }));
     }
     // Whether the write was committed or refused or its answer was lost, the row names the attempt that holds the
--- a/packages/router/controllers/LedgerController.h
+++ b/packages/router/controllers/LedgerController.h
@@ -12,7 +12,8 @@
 
 namespace eelgrass::router {
 
-/// A ledger record that names the only attempt that may run a request. Written before the request is sent.
+/// A ledger record that names the only attempt that may run a request. The record is written before the request is
+/// sent.
 struct Claim {
     /// Digest of path and body, by which a different request under the same key is detected.
     std::string digest;
@@ -30,7 +31,7 @@
     std::string text;
     std::uint32_t tokens = 0;
     std::string finishReason;
-    /// Set when the answer broke off, or when its outcome will remain unknown.
+    /// Set if the answer broke off, or if its outcome will remain unknown.
     std::optional<Error> error;
 };
 
@@ -68,12 +69,12 @@
     /// known even if the answer to the write was lost. Claims made in one event loop turn are written in one
     /// transaction.
     [[nodiscard]] auto claim(std::string key, Claim claim, std::uint64_t version) -> kj::Promise<LedgerRow>;
-    /// Stores the answer in the claim's row, retrying for a limited time while the platform is unavailable. True when
-    /// the row was written, or when it has changed meanwhile.
+    /// Stores the answer in the claim's row, retrying for a limited time while the platform is unavailable. Resolves to
+    /// `true` when the row was written, or when the row has changed meanwhile.
     [[nodiscard]] auto finish(std::string key, LedgerRow row, StoredAnswer answer) -> kj::Promise<bool>;
-    /// Clears the claim of a request that did not run, so that its caller can send the request again. The row is kept:
-    /// if it were removed, its versions would restart, and a delayed writer could overwrite a later claim whose row has
-    /// the version that the writer expects.
+    /// Clears the claim of a request that did not run, so that its caller can send the request again. The row is kept,
+    /// because removing it would restart its versions. A later claim could then get the version that a delayed writer
+    /// expects, and the writer would overwrite that claim.
     [[nodiscard]] auto releaseClaim(std::string key, LedgerRow row) -> kj::Promise<void>;
 
 private:
--- a/packages/router/controllers/LoadQueueController.h
+++ b/packages/router/controllers/LoadQueueController.h
@@ -8,7 +8,8 @@
 namespace eelgrass::router {
 
 /// Holds the load queue, in which target processes wait for their turn to load an adapter from the weight store. The
-/// queue is advisory and kept in memory: losing the entry that holds it costs one expiry of a turn and nothing else.
+/// queue is advisory and kept in memory: losing the entry that holds the queue costs the time in which one turn
+/// expires, and nothing else.
 class LoadQueueController {
 public:
     explicit LoadQueueController(wire::MainLoop& loop)
--- a/packages/router/controllers/QuarantineController.cpp
+++ b/packages/router/controllers/QuarantineController.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr auto prefix = "quarantine/";
-// Target processes push a crash to the entries connected to them. The rows serve entries that start later and rarely
-// change.
+// Target processes push a crash to the entries connected to them. The rows rarely change and serve entries that start
+// later.
 constexpr auto pollPeriod = Duration(2s);
 
 } // namespace
--- a/packages/router/controllers/QuarantineController.h
+++ b/packages/router/controllers/QuarantineController.h
@@ -19,12 +19,12 @@
 
     /// Starts polling the platform's rows.
     auto start() -> void;
-    /// Records that an engine died while it ran this request, whose crash count was `before` when it started. True if
-    /// the request is refused from now on.
+    /// Records that an engine died while it ran this request, whose crash count was `before` when it started. Returns
+    /// `true` if the request is refused from now on.
     auto recordCrash(const std::string& digest, std::uint32_t before) -> bool;
     auto recordSuccess(const std::string& digest) -> void { quarantine_.succeeded(digest); }
-    /// Starts a run of a suspect request; false if this entry already runs one. Simultaneous sends of a suspect thus
-    /// run one at a time.
+    /// Starts a run of a suspect request; returns `false` if this entry already runs the request. Simultaneous sends of
+    /// a suspect request thus run one at a time.
     [[nodiscard]] auto tryStart(const std::string& digest) -> bool { return running_.insert(digest).second; }
     /// Ends the run that `tryStart` began.
     auto finish(const std::string& digest) -> void { running_.erase(digest); }
--- a/packages/router/controllers/SlotsController.cpp
+++ b/packages/router/controllers/SlotsController.cpp
@@ -102,8 +102,8 @@
                 [this, model](kj::Exception&& lost) {
                     log::warn("load not confirmed",
                         { { "step", "load" }, { "model", model.str() }, { "reason", lost.getDescription().cStr() } });
-                    // The answer is lost, but the load may have succeeded: the engine's state shows its outcome. Until
-                    // that state is read, the content of the slot is unknown and no request is sent to it.
+                    // The answer is lost, but the load may have succeeded: the engine's state shows the outcome of the
+                    // load. Until that state is read, the content of the slot is unknown and no request is sent to it.
                     loop_.spawn(refreshWithRetry().then([this, model] {
                         if (!slots_.resident().contains(model))
                             loadEnded(model, false);
--- a/packages/router/controllers/SlotsController.h
+++ b/packages/router/controllers/SlotsController.h
@@ -28,8 +28,8 @@
     [[nodiscard]] auto ready(const ModelName& model) const -> bool { return slots_.ready(model); }
     /// Pins an adapter that is ready.
     auto pin(const ModelName& model) -> void { slots_.pin(model, now()); }
-    /// Sets the adapters that requests wait for, highest priority first. Requests a load turn, and loads when the turn
-    /// is granted.
+    /// Sets the adapters that requests wait for, highest priority first. Requests a load turn, and starts a load when
+    /// the turn is granted.
     auto requestLoads(std::vector<decisions::LoadCandidate> candidates) -> void;
     /// Makes loads wait for turns. Without turns, as in a test, each load starts when it is requested.
     auto setTurns(std::unique_ptr<LoadTurns> turns) -> void;
@@ -39,7 +39,7 @@
     /// Counts an accepted request towards the demand for its adapter.
     auto recordDemand(const ModelName& model) -> void { slots_.asked(model, now()); }
     auto unpin(const ModelName& model) -> void;
-    /// Pins the adapter of a stream that an earlier process started; false if the adapter is not resident.
+    /// Pins the adapter of a stream that an earlier process started; returns `false` if the adapter is not resident.
     [[nodiscard]] auto pinResident(const ModelName& model) -> bool;
     /// Sets the check that runs before each order to the engine. It resolves to `false` when another process owns the
     /// target.
--- a/packages/router/controllers/TargetsController.cpp
+++ b/packages/router/controllers/TargetsController.cpp
@@ -148,7 +148,8 @@
         onState_(state);
     if (!fleet_.find(target))
         return;
-    // Only for a short time: if the session is closed meanwhile, the return of the engine is not reported.
+    // The target is excluded only for a short time, because a session that is closed meanwhile does not report the
+    // return of the engine.
     if (!state.getEngineAlive())
         markUnreachable(target);
     epochs_[target] = Epoch(state.getEpoch());
--- a/packages/router/controllers/TargetsController.h
+++ b/packages/router/controllers/TargetsController.h
@@ -27,9 +27,9 @@
 
     /// Excludes the targets that `drained` returns from new work. Called at each placement.
     auto excludeDrained(std::function<const std::set<TargetId>&()> drained) -> void { drained_ = std::move(drained); }
-    /// Chooses a target and counts the request as sent to it.
+    /// Chooses a target and counts the request as sent to that target.
     [[nodiscard]] auto place(const decisions::PlacementRequest& request) -> std::optional<TargetId>;
-    /// Whether some target can take the request. Unlike `place`, counts nothing.
+    /// Whether some target can take the request. Unlike `place`, does not count the request.
     [[nodiscard]] auto canPlace(const decisions::PlacementRequest& request) const -> bool;
     /// How `place` would rate each target for the request now.
     [[nodiscard]] auto explain(const decisions::PlacementRequest& request) const -> std::vector<decisions::Explanation>
--- a/packages/router/target/Attempt.h
+++ b/packages/router/target/Attempt.h
@@ -28,13 +28,15 @@
     Duration loadStall {};
     Duration queueWait {};
     bool cancelled = false;
-    /// Sent, or about to be sent, to the engine or service; the attempt can no longer be revoked.
+    /// Whether the attempt was sent, or is about to be sent, to the engine or service; it can then no longer be
+    /// revoked.
     bool started = false;
     /// Whether this attempt pins its adapter's slot.
     bool pinned = false;
-    /// Started by an earlier process of this target. Its stream is not read until an entry resumes the attempt.
+    /// Whether an earlier process of this target started the attempt. The attempt's stream is not read until an entry
+    /// resumes the attempt.
     bool adopted = false;
-    /// As reported by the engine; "stop" if the engine reports none.
+    /// The finish reason that the engine reports; "stop" if the engine reports none.
     std::string finishReason = "stop";
     AttemptOutput output;
     /// The running call to the engine or service; destroying the promise cancels the call.
--- a/packages/router/target/AttemptOutput.h
+++ b/packages/router/target/AttemptOutput.h
@@ -41,7 +41,7 @@
     /// Must be called before any output.
     auto beginAt(ChunkNumber chunk, std::uint32_t token) -> void;
     [[nodiscard]] auto attached() const noexcept -> bool { return !readers_.empty(); }
-    /// When the last reader was lost, or when the output was created if there was none.
+    /// When the last reader was lost; if there was no reader yet, when the output was created.
     [[nodiscard]] auto detachedAt() const noexcept -> Moment { return detachedAt_; }
     /// Whether every chunk from `from` on is still available.
     [[nodiscard]] auto has(ChunkNumber from) const noexcept -> bool { return from >= first_; }
--- a/packages/router/target/LoadTurns.cpp
+++ b/packages/router/target/LoadTurns.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-// The request is repeated at this interval, because its age counts in the queue and because an entry may have stopped
-// or lost the request.
+// The request is repeated at this interval, because the age of a request counts in the queue, and because an entry may
+// have stopped or lost the request.
 constexpr auto requestPeriod = Duration(1s);
 // A live entry answers the previous request as soon as the next one arrives, so an entry that answers none of three
 // requests is lost.
 constexpr auto silenceLimit = 3 * requestPeriod;
 // Loads per second that the weight store can serve in total, and the number of targets that share them in a current
-// deployment. They set the rate while no entry answers.
+// deployment. The two values set the rate of loads while no entry answers.
 constexpr auto loadsPerSecond = 2.0;
 constexpr auto typicalTargets = std::size_t(9);
 
@@ -63,7 +63,7 @@
     lastAnswerAt_ = now();
     if (!granted || hasTurn_ || !requestedWeight_)
         return;
-    // A grant for an older request counts too: granting it removed this target from the queue.
+    // A grant for an older request counts too, because that grant removed this target from the queue.
     if (number <= lastRequest_)
         startTurn();
 }
@@ -78,7 +78,7 @@
 {
     hasTurn_ = true;
     retryTimer_ = {};
-    // Deferred to a later event loop turn, because the caller may be iterating over its queue.
+    // The callback is deferred to a later event loop turn, because the caller may be iterating over its queue.
     loop_.spawn(kj::evalLater([this] {
         if (hasTurn_ && onTurn_)
             onTurn_();
--- a/packages/router/target/LoadTurns.h
+++ b/packages/router/target/LoadTurns.h
@@ -25,9 +25,9 @@
     LoadTurns(wire::MainLoop& loop, std::string target, FindQueueHolder findHolder);
 
     auto onTurn(std::function<void()> callback) -> void { onTurn_ = std::move(callback); }
-    /// Requests a turn. A request already sent is updated at once if `weight` has risen, and otherwise when it is
-    /// repeated. `weight` is the weight of the classes whose requests wait for the load; `oldestAt` is when the oldest
-    /// of these requests was accepted.
+    /// Requests a turn. A request that was already sent is updated at once if `weight` has risen, and otherwise when
+    /// the request is next repeated. `weight` is the weight of the classes whose requests wait for the load; `oldestAt`
+    /// is when the oldest of these requests was accepted.
     auto requestTurn(double weight, Moment oldestAt) -> void;
     [[nodiscard]] auto hasTurn() const noexcept -> bool { return hasTurn_; }
     /// Ends the turn, or withdraws the request for one, when the load has ended or nothing waits for a load any more.
--- a/packages/router/target/Runner.cpp
+++ b/packages/router/target/Runner.cpp
@@ -93,7 +93,7 @@
 
 auto EngineRunner::knows(AttemptId attempt, ModelName model) -> kj::Promise<bool>
 {
-    // A token number beyond the end of any answer: only the status of the reply matters here.
+    // This token number is beyond the end of any answer, because only the status of the reply matters here.
     constexpr auto beyondAnyToken = 1U << 30U;
     return engine_.resume(std::move(attempt), std::move(model), beyondAnyToken)
         .then([](kj::Own<targets::CompletionStream> stream) { return stream->status() == 200; });
