--- a/packages/router/DaemonMain.cpp
+++ b/packages/router/DaemonMain.cpp
@@ -94,8 +94,8 @@
     }
 }
 
-/// Runs a gateway or an agent. The settings file is read again on a reload signal; if it has problems, they are logged
-/// and the old settings stay in use.
+/// Runs a gateway or an agent. The settings file is read again on a reload signal. If the file has problems, they are
+/// logged and the old settings stay in use.
 template <typename Role, typename Parse>
 auto serveReloadable(const std::string& file, const char* process, Parse parse) -> int
 {
--- a/packages/router/EntryRole.h
+++ b/packages/router/EntryRole.h
@@ -14,15 +14,16 @@
 
 namespace eelgrass::router {
 
-/// An entry process: serves callers and operators. All of its state can be lost without harm.
+/// An entry process, which serves callers and operators. It keeps no state whose loss would do harm.
 class EntryRole {
 public:
     EntryRole(wire::MainLoop& loop, EntrySettings settings);
 
     /// Connects the controllers to the platform.
     auto start() -> void;
-    /// Stops gracefully: reports not ready, keeps serving until the balancer has noticed (`balancer_delay_ms`), then
-    /// closes the listening socket, finishes the calls in progress and quits the loop.
+    /// Stops gracefully. The entry reports that it is not ready and keeps serving for `balancer_delay_ms`, until the
+    /// load balancer has noticed. Then it closes the listening socket, finishes the calls in progress and quits the
+    /// loop.
     auto stop() -> void;
 
     [[nodiscard]] auto port() const noexcept -> std::uint16_t { return server_.port(); }
--- a/packages/router/Metrics.cpp
+++ b/packages/router/Metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// In seconds: from 0.1 ms, the cost of relaying, to 10 minutes, the duration of the longest answers.
+// Bounds in seconds. They range from 0.1 ms, the cost of relaying, to 10 minutes, the duration of the longest answers.
 const auto timeBounds = prometheus::Histogram::BucketBoundaries { 0.0001, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.028,
     0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 30, 60, 120, 300, 600 };
 const auto ratioBounds
@@ -15,7 +15,7 @@
 
 using HistogramFamily = prometheus::Family<prometheus::Histogram>;
 
-/// The family with this name; registered on first use.
+/// Returns the family with this name, which is registered on first use.
 auto findOrRegister(std::map<std::string, HistogramFamily*>& families, prometheus::Registry& registry,
     const std::string& name) -> HistogramFamily&
 {
--- a/packages/router/Metrics.h
+++ b/packages/router/Metrics.h
@@ -13,21 +13,21 @@
 
 namespace eelgrass::router {
 
-/// Metrics of a process, in the Prometheus text format. Served by the process's own HTTP server.
+/// Metrics of a process, which its own HTTP server serves in the Prometheus text format.
 ///
-/// Members beyond the limit are counted under the label value `other`, which bounds the size of the page.
+/// Members beyond a limit share the label value `other`, which bounds the size of the output.
 class Metrics {
 public:
-    /// `maxMembers`: members with label values of their own, in the order in which they first appear.
+    /// The first `maxMembers` members that appear get label values of their own; all later ones share `other`.
     explicit Metrics(std::size_t maxMembers);
 
     using Series = prometheus::Histogram;
 
-    /// The histogram of one member and class. Callers that observe often should keep the reference, since the lookup
-    /// costs more than an observation.
+    /// The histogram of one member and request class. Code that observes often should keep the reference, since the
+    /// lookup costs more than an observation.
     [[nodiscard]] auto series(const std::string& name, const MemberId& member, const RequestClass& requestClass)
         -> Series&;
-    /// Observes a time for one member and class. `name` is the full name of the metric and ends in `_seconds`.
+    /// Observes a time for one member and request class. `name` is the full name of the metric and ends in `_seconds`.
     auto observe(const std::string& name, const MemberId& member, const RequestClass& requestClass, Duration time)
         -> void;
     /// Observes a time under the given labels.
--- a/packages/router/Settings.h
+++ b/packages/router/Settings.h
@@ -23,7 +23,7 @@
     std::string name;
     AvailabilityZone zone;
     Endpoint platform;
-    /// Shared by all processes of the system for mutual authentication; never logged.
+    /// Secret that all processes of the system share for mutual authentication. It is never logged.
     std::string secret;
     std::string logLevel = "INFO";
 };
@@ -31,9 +31,9 @@
 /// Settings of `--role=entry`.
 struct EntrySettings {
     CommonSettings common;
-    /// Address for callers, operators and the metrics scraper.
+    /// Address to listen on for callers, operators and the metrics scraper.
     Endpoint listen;
-    /// Names of operators by the SHA-256 digest of their key, in lower-case hexadecimal.
+    /// Names of operators by the SHA-256 digest of their key. The digest is in lower-case hexadecimal.
     std::map<std::string, std::string> operatorsByKeyDigest;
     std::uint32_t bodyLimitKiB = 4096;
     /// A caller's connection is closed after this many seconds without a byte in either direction.
@@ -49,27 +49,27 @@
     enum class Kind { Engine, Service };
 
     CommonSettings common;
-    /// Address for entries.
+    /// Address to listen on for entries.
     Endpoint listen;
-    /// Address for the metrics scraper.
+    /// Address to listen on for the metrics scraper.
     Endpoint metrics;
     Kind kind = Kind::Engine;
     /// Name of the base model or plain service behind this process.
     std::string serves;
-    /// The engine or service itself.
+    /// Address of the engine or service.
     Endpoint target;
-    /// Adapters that the engine holds at once.
+    /// Number of adapters that the engine can hold at once.
     std::uint32_t slots = 4;
-    /// Requests that run at once.
+    /// Number of requests that can run at once.
     std::uint32_t batch = 8;
     /// Whether the engine refuses a request with an old fencing token.
     bool honoursFence = true;
-    /// Requests that may wait at this process.
+    /// Number of requests that may wait at this process.
     std::uint32_t queueLimit = 256;
 };
 
-/// Parses and checks the text of a settings file. All problems are reported, each with its line; `file` is the name
-/// they are reported under.
+/// Parses and checks the text of a settings file. Reports all problems, each with `file` as the file name and with its
+/// line.
 ///
 /// ```cpp
 /// auto settings = parseEntrySettings(text, "entry.yaml");
--- a/packages/router/WireTypes.h
+++ b/packages/router/WireTypes.h
@@ -18,12 +18,12 @@
     AttemptId attempt;
     RequestId requestId;
     MemberId member;
-    /// Empty for a plain service.
+    /// The model's name; empty for a plain service.
     ModelName model;
     RequestClass requestClass;
-    /// Time left until the caller's deadline, when this is sent; zero if there is no deadline.
+    /// Time left until the caller's deadline when the request is sent; zero if there is no deadline.
     std::chrono::milliseconds deadline {};
-    /// The request may run only once.
+    /// Whether the request may run only once.
     bool neverRepeat = false;
     /// The target's epoch as the entry knows it. The target process refuses a start with any other epoch.
     Epoch epoch;
@@ -34,7 +34,7 @@
     std::string method;
     std::string path;
     std::string contentType;
-    /// Digest of member, adapter and body; identifies requests that crash engines.
+    /// Digest of the member, the model and the request's path and body. It identifies requests that crash engines.
     std::string digest;
     /// Tokens and text of the answer that the caller already has from an attempt whose engine died.
     std::uint32_t skipTokens = 0;
--- a/packages/router/entry/AnswerWriter.cpp
+++ b/packages/router/entry/AnswerWriter.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr auto commentPeriod = Duration(2s);
-// Bytes that may wait for a caller that reads slowly before the target has to wait.
+// Number of bytes that may be buffered for a slow caller before the target has to wait.
 constexpr auto sendBufferLimit = std::size_t(64) << 10U;
 
 auto wholeSeconds(std::chrono::milliseconds delay) -> std::string
@@ -56,7 +56,7 @@
     eventPrefix_.pop_back();
 }
 
-// The exchange can outlive the writer, until its last bytes are sent.
+// Removes the callback, since the exchange can outlive the writer until the last bytes of the answer are sent.
 AnswerWriter::~AnswerWriter() { call_->exchange->onDrained({}); }
 
 auto AnswerWriter::onDrained() -> void
--- a/packages/router/entry/AnswerWriter.h
+++ b/packages/router/entry/AnswerWriter.h
@@ -26,7 +26,7 @@
     auto updateModel() -> void;
     /// Sets what the request waits for, as the next comment line reports it.
     auto setProgress(std::string note) -> void { progressNote_ = std::move(note); }
-    /// Sets status and content type of a service's answer; to be called before its first bytes.
+    /// Sets the status and content type of a service's answer. Must be called before the first bytes of the answer.
     auto setHead(int status, std::string contentType) -> void;
     /// Writes a part of the answer, or collects it for an answer in one body.
     auto appendText(std::string_view text, std::uint32_t tokens) -> void;
@@ -35,14 +35,14 @@
     /// Ends the answer with an error. If a service's answer has begun, the connection is closed instead.
     auto finishWithError(const Error& error) -> void;
 
-    /// Tokens of text that were sent, or collected for an answer in one body.
+    /// Number of tokens whose text was sent, or was collected for an answer in one body.
     [[nodiscard]] auto tokensWritten() const noexcept -> std::uint32_t { return tokensWritten_; }
     [[nodiscard]] auto firstTokenAt() const noexcept -> std::optional<Moment> { return firstTokenAt_; }
-    /// Resolves when fewer bytes wait for the caller than the limit of the send buffer.
+    /// Resolves when the number of unsent bytes is below the limit of the send buffer.
     [[nodiscard]] auto whenWritable() -> kj::Promise<void>;
 
 private:
-    /// Sends status and headers, once.
+    /// Sends the status and the headers if they have not been sent yet.
     auto beginResponse() -> void;
     /// Sends a comment line if nothing was sent since the last call.
     auto sendCommentIfIdle() -> void;
--- a/packages/router/entry/Call.h
+++ b/packages/router/entry/Call.h
@@ -14,25 +14,25 @@
     wire::HttpExchangePtr exchange;
     RequestId requestId;
     Moment receivedAt {};
-    /// The configuration when the request arrived; it applies to the request until its end.
+    /// The configuration at the time when the request arrived. It applies to the request until the request ends.
     ConfigurationPtr configuration;
 
     Caller caller;
     AttemptRequest::Kind kind = AttemptRequest::Kind::Completion;
-    /// The caller wants the answer as a stream of events.
+    /// Whether the caller wants the answer as a stream of events.
     bool stream = false;
     /// Parsed body of a completion or chat.
     Json body;
     /// Name of a plain service.
     std::string service;
-    /// Path and query that the service gets.
+    /// Path and query that are passed on to the service.
     std::string servicePath;
 
     ResolvedModel model;
     RequestClass requestClass;
-    /// Time for the whole request, from its arrival.
+    /// Time limit for the whole request, measured from its arrival.
     std::chrono::milliseconds deadline {};
-    /// The request may run only once.
+    /// Whether the request may run only once.
     bool neverRepeat = false;
     /// Empty if the caller gave none.
     std::string idempotencyKey;
--- a/packages/router/entry/OperatorApi.cpp
+++ b/packages/router/entry/OperatorApi.cpp
@@ -15,9 +15,9 @@
 constexpr auto adapterPrefix = std::string_view("adapters/");
 constexpr auto targetPrefix = std::string_view("targets/");
 constexpr auto drainSuffix = std::string_view("/drain");
-// A drain request names no configuration version, since it applies whatever else has changed. It is submitted again
-// when another change came first. With this many tries, concurrent changes by other operators do not keep it from
-// succeeding.
+// A drain request names no configuration version, since it applies regardless of other changes. If another change was
+// committed first, the drain is submitted again. With this many tries, concurrent changes by other operators do not
+// prevent the drain.
 constexpr auto maxDrainTries = 5;
 
 /// The version in an `If-Match` header, with or without quotes.
--- a/packages/router/entry/OperatorApi.h
+++ b/packages/router/entry/OperatorApi.h
@@ -42,10 +42,10 @@
     /// Answers where a request for a model would be placed and why.
     auto sendExplanation(const Request& request) -> void;
     auto setDrained(const Request& request, const std::string& target, bool drained) -> void;
-    /// Submits the change against the current version; after a conflict with another change, again, `tries` times in
-    /// all.
+    /// Submits the change against the current version of the configuration. If it conflicts with another change, it is
+    /// submitted again, at most `tries` times in all.
     auto submitDrain(Request request, std::string target, bool drained, int tries) -> kj::Promise<void>;
-    /// Runs `work`, which sends the answer; answers 503 if it rejects.
+    /// Runs `work`, which sends the answer. Answers 503 if `work` rejects.
     auto spawn(const Request& request, kj::Promise<void> work) -> void;
     auto sendPatchResult(const Request& request, const std::variant<ConfigVersion, Error>& outcome) -> void;
     /// Sets the header `ETag` to the configuration's version.
--- a/packages/router/entry/Relay.cpp
+++ b/packages/router/entry/Relay.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-// Attempts for one request. More would keep the caller waiting on a system that has no capacity left.
+// Number of attempts for one request. More attempts would keep the caller waiting on a system that has no capacity
+// left.
 constexpr auto maxAttempts = 3;
 constexpr auto resumeDelay = Duration(200ms);
-// A target process is back within this time after a restart.
+// A restarted target process is available again within this time. After that, the attempt counts as lost.
 constexpr auto resumeLimit = Duration(15s);
 // A live target process accepts a new connection within milliseconds, but a frozen one accepts connections and never
-// answers on them. After this time a repeatable request moves to another target if there is one.
+// answers on them. After this time, a repeatable request moves to another target if one is available.
 constexpr auto repeatableResumeLimit = Duration(1s);
-// Delay before a target is tried again whose process or engine has just restarted.
+// Delay before the second try of a target whose process or engine has just restarted.
 constexpr auto sameTargetRetryDelay = Duration(300ms);
 constexpr auto suspectPollPeriod = Duration(50ms);
 
@@ -128,8 +129,8 @@
 
 auto Relay::adoptModel(const ModelName& model) -> void
 {
-    // A new version can take effect between two sends of the same request, and the stored answer would then be reported
-    // under that version. The ledger records which version ran, and the caller is given that one.
+    // If a new version takes effect before a caller sends the same request again, the stored answer would be reported
+    // under the new version. The caller therefore gets the version that ran, which the ledger records.
     call_->model = withModelName(std::move(call_->model), model);
     writer_.updateModel();
 }
@@ -202,7 +203,8 @@
     }
     auto error
         = lastRefusal_ ? *lastRefusal_ : Error(Step::Place, 503, "no_target", "no target can take the request now");
-    // A target that refuses for lack of capacity says when it expects to have some; that time is passed on.
+    // A target that refuses a request for lack of capacity says when it expects to have capacity. The caller gets that
+    // time as `Retry-After`.
     if (!error.retryAfter() || *error.retryAfter() < 1s)
         error = Error(std::move(error)).retryAfter(1s);
     endWithError(error);
@@ -319,9 +321,9 @@
         endWithError(error);
         return kj::READY_NOW;
     }
-    // After a refusal for an old epoch or a revoked attempt, the same target accepts the request with the epoch that
-    // came with the refusal, or as a new attempt. When that target was skipped, a request failed whose adapter was on
-    // no other target.
+    // A target that refused an old epoch accepts the request with the epoch that came with the refusal. A target that
+    // refused a revoked attempt accepts a new attempt. Both may be tried again: when such a target was skipped,
+    // requests failed whose adapter was on no other target.
     if (error.type() == "stale_epoch" || error.type() == "not_started" || error.type() == "revoked")
         std::erase(tried_, target);
     mayRetryTried_ = mayRetryTried_ || error.type() == "stale_epoch" || error.type() == "engine_away"
@@ -412,7 +414,8 @@
     if (done_)
         return kj::READY_NOW;
     if (record_ && !answerBegun_) {
-        // The attempt may have finished and its output been released; the answer is then in the ledger.
+        // The attempt may have finished and its output may have been released. In that case the answer is in the
+        // ledger.
         return record_->lookUp().then([self = shared_from_this(), error](ClaimStatus status) {
             if (const auto* answered = std::get_if<Answered>(&status))
                 self->replayAnswer(*answered);
@@ -441,7 +444,7 @@
 
 auto Relay::receiveChunk(ChunkNumber number, AnswerChunk chunk) -> kj::Promise<void>
 {
-    // Sent again after a resume; the caller already has this chunk.
+    // This chunk was sent again after a resume. The caller already has it.
     if (number < nextChunk_)
         return kj::READY_NOW;
     if (number == nextChunk_)
@@ -612,8 +615,8 @@
     if (done_)
         return;
     metrics_.count("eelgrass_hangups_total", {});
-    // A request that may run only once continues: its caller may send it again to fetch the answer, and it must not run
-    // a second time for that.
+    // A request that may run only once is not cancelled: its caller may send the request again to fetch the answer, and
+    // the request must not run a second time for that.
     if (record_)
         return;
     cancelAttempt(target_);
--- a/packages/router/entry/Relay.h
+++ b/packages/router/entry/Relay.h
@@ -52,7 +52,7 @@
     auto handleClaimStatus(ClaimStatus status) -> kj::Promise<void>;
     /// Sends the caller the answer stored in the ledger.
     auto replayAnswer(const Answered& answered) -> void;
-    /// Reports the answer under the adapter and version that it was run with.
+    /// Reports the answer under the adapter and version that produced it.
     auto adoptModel(const ModelName& model) -> void;
     /// Relays the answer of an attempt that another call started.
     auto joinAttempt(const Claim& claim) -> kj::Promise<void>;
@@ -66,23 +66,25 @@
     auto claimAndSend(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
     auto sendStart(const TargetId& target, wire::schema::TargetSession::Client session) -> kj::Promise<void>;
     auto attemptRequest() -> AttemptRequest;
-    /// Keeps the target's session on frequent heartbeats while the returned promise is held.
+    /// Checks the target's session with frequent heartbeats while the returned promise is held.
     auto watchSession(const TargetId& target) -> kj::Own<kj::Promise<void>>;
     /// Tries another target, or passes the refusal on to the caller.
     auto handleRefusal(const TargetId& target, const Error& error) -> kj::Promise<void>;
-    /// Waits until the target's session is lost, then resumes the attempt; chunks arrive through the sink meanwhile.
+    /// Waits until the target's session is lost, then resumes the attempt. Until then, chunks arrive through the sink.
     auto resumeWhenLost(const TargetId& target) -> kj::Promise<void>;
     /// Asks the target process to send the answer from the next missing chunk on. `lostAt`: when the session was lost.
     auto resume(const TargetId& target, Moment lostAt) -> kj::Promise<void>;
     auto resumeAfterDelay(const TargetId& target, Moment lostAt) -> kj::Promise<void>;
-    /// The target process does not know the attempt: revokes it there, so that it cannot start any more.
+    /// Handles the reply that the target process does not know the attempt: revokes the attempt there, so that it can
+    /// no longer start.
     auto handleUnknownAttempt(const TargetId& target) -> kj::Promise<void>;
-    /// The attempt is lost: continues the answer on another target if the call may be repeated, else fails the call.
+    /// Handles the loss of an attempt: continues the answer on another target if the call may be repeated, else fails
+    /// the call.
     auto continueElsewhere(const Error& error) -> kj::Promise<void>;
     [[nodiscard]] auto isRepeatable() const -> bool;
-    /// Ends the call with an error, adjusted to whether the request may have run.
+    /// Ends the call with an error. Adjusts the error's run state if the request may have run.
     auto endWithError(Error error) -> void;
-    /// The caller disconnected before the answer was complete.
+    /// Handles a caller that disconnected before the answer was complete.
     auto handleHangUp() -> void;
     /// Resolves, as the acknowledgement to the target, when the chunk is written to the caller or to its bounded
     /// buffer.
@@ -95,7 +97,8 @@
     auto finishAnswer(const AnswerEnd& end) -> void;
     /// Marks the call as done and resolves the promise of run().
     auto finish() -> void;
-    /// Lets the next call with the same digest run, if this one held the turn of a suspect request.
+    /// Calls with the digest of a suspect request, one that has crashed an engine, run one at a time. If it is this
+    /// call's turn, lets the next one run.
     auto releaseSuspectTurn() -> void;
     /// Sends a message about the attempt if a session with the target is open. A lost message does no harm: the target
     /// process cleans up by itself later.
@@ -116,9 +119,9 @@
     Moment lastTokenAt_ {};
     /// Null if the request may run more than once.
     std::unique_ptr<RunRecord> record_;
-    /// This call holds the claim in the ledger.
+    /// Whether this call holds the claim in the ledger.
     bool claimed_ = false;
-    /// The answer is in the ledger or being written to it.
+    /// Whether the answer is in the ledger or is being written to it.
     bool recorded_ = false;
     std::vector<TargetId> tried_;
     int attempts_ = 0;
@@ -128,19 +131,20 @@
     ChunkNumber nextChunk_;
     /// Chunks that arrived before their predecessors, by number.
     std::map<ChunkNumber, EarlyChunk> earlyChunks_;
-    /// Text of a repeatable answer that the caller already has; another target can continue from it.
+    /// Text of a repeatable answer that the caller already has. Another target can continue the answer from this text.
     std::string givenText_;
-    /// The last refusal by a target. Returned to the caller if no other target accepts the request.
+    /// The last refusal by a target. It is returned to the caller if no other target accepts the request.
     std::optional<Error> lastRefusal_;
-    /// A target that was already tried may accept the request on a second try.
+    /// Whether a target that was already tried may accept the request on a second try.
     bool mayRetryTried_ = false;
-    /// An earlier attempt was lost after its start, so the request may have run.
+    /// Whether an earlier attempt was lost after its start, so that the request may have run.
     bool mayHaveRun_ = false;
-    /// A chunk of the answer was passed to the caller.
+    /// Whether a chunk of the answer was passed to the caller.
     bool answerBegun_ = false;
-    /// This call is the one of its digest that may run now; set for a request that has crashed an engine.
+    /// Whether this call is the only one with its digest that may run now. Set only for a request that has crashed an
+    /// engine.
     bool holdsSuspectTurn_ = false;
-    /// Engine crashes counted for this request when the attempt was sent.
+    /// Number of engine crashes that had been counted for this request when the attempt was sent.
     std::uint32_t crashesAtStart_ = 0;
     bool done_ = false;
     kj::Own<kj::PromiseFulfiller<void>> finished_;
--- a/packages/router/entry/RunRecord.h
+++ b/packages/router/entry/RunRecord.h
@@ -31,15 +31,15 @@
     /// The request's state in the ledger. Never rejects: an unavailable ledger gives an Error with the run state
     /// `not_run`.
     [[nodiscard]] auto lookUp() -> kj::Promise<ClaimStatus>;
-    /// Claims the request for this attempt if no other has claimed it; returns the resulting state. Never rejects, as
-    /// lookUp().
+    /// Claims the request for this attempt if no other attempt has claimed it, and returns the resulting state. Never
+    /// rejects; errors are returned as by lookUp().
     [[nodiscard]] auto claim(const AttemptId& attempt, const TargetId& target, Epoch epoch) -> kj::Promise<ClaimStatus>;
 
     /// Collects the status and content type of the answer that finish() stores.
     auto setHead(int status, const std::string& contentType) -> void;
     /// Collects a part of the answer's text.
     auto appendText(std::string_view text, std::uint32_t tokens) -> void;
-    /// Stores the collected answer and how it ended. Resolves to true if the ledger has it.
+    /// Stores the collected answer and how it ended. Resolves to true if the ledger has the answer.
     [[nodiscard]] auto finish(const AnswerEnd& end) -> kj::Promise<bool>;
     /// Gives up the claim of an attempt that did not run and will not run.
     [[nodiscard]] auto releaseClaim() -> kj::Promise<void>;
--- a/packages/router/entry/TargetLink.cpp
+++ b/packages/router/entry/TargetLink.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr auto heartbeatPeriod = Duration(1s);
-// Three missed heartbeats. Fewer would drop the session of a process that is only busy; more would keep callers waiting
-// on a connection that a device in between no longer forwards.
+// The time of three missed heartbeats. A lower limit would drop the session of a process that is only busy. A higher
+// limit would keep callers waiting on a connection that a network device has stopped forwarding.
 constexpr auto silenceLimit = Duration(3s);
-// A round trip between regions takes a tenth of this. A longer timeout would delay the first token of the caller that
-// waits for the probe.
+// A round trip between regions takes a tenth of this timeout. A longer timeout would delay the first token for a caller
+// whose request waits for the probe.
 constexpr auto probeTimeout = Duration(500ms);
 constexpr auto connectTimeout = Duration(2s);
-// No call waits on an idle session, and an entry holds up to a thousand of them: a heartbeat every 20 s would use 14 of
-// an entry's 16 KB/s. An unused session is closed after a minute and probed before it is used again, so this period
-// only matters for sessions that are kept open longer for another reason.
+// An entry holds up to a thousand idle sessions, and no call waits on them. Heartbeats every 20 s would use 14 KB/s of
+// an entry's limit of 16 KB/s. An unused session is closed after a minute and is probed before it is used again, so
+// this period matters only for sessions that are kept open longer for another reason.
 constexpr auto idleHeartbeatPeriod = Duration(60s);
 
 } // namespace
@@ -85,8 +85,9 @@
     lastUsed_ = now();
     if (session_ && now() - lastActivityAt_ <= silenceLimit)
         return *session_;
-    // The loss of an idle session may not have been noticed yet. A start sent on it would be lost for seconds, and
-    // whether it ran would be unknown. The session is therefore probed first and reopened if the probe fails.
+    // The loss of an idle session may not have been noticed yet. If a start were sent on a lost session, the loss would
+    // go unnoticed for seconds, and it would be unknown whether the request ran. The session is therefore probed first
+    // and reopened if the probe fails.
     if (session_) {
         return probe().then([this, alive = std::weak_ptr(alive_)] {
             KJ_REQUIRE(!alive.expired(), "the link was closed");
@@ -226,7 +227,7 @@
     session_.reset();
     connecting_.reset();
     if (auto connection = std::exchange(connection_, nullptr)) {
-        // Destroyed in a later turn of the loop, since a call of the connection may be on the stack.
+        // The connection is destroyed in a later turn of the loop, since one of its functions may be on the stack.
         auto held = std::make_shared<std::unique_ptr<wire::Connection>>(std::move(connection));
         loop_.spawn(kj::evalLater([] {}).then([] { return kj::evalLater([] {}); }).attach(kj::heap(kj::mv(held))));
     }
--- a/packages/router/entry/TargetLink.h
+++ b/packages/router/entry/TargetLink.h
@@ -22,14 +22,14 @@
         LoadQueueController* loads = nullptr);
     ~TargetLink();
 
-    /// The open session; opens one if there is none. Rejects if the target process cannot be reached.
+    /// Returns the open session, or opens one if there is none. Rejects if the target process cannot be reached.
     [[nodiscard]] auto session() -> kj::Promise<wire::schema::TargetSession::Client>;
-    /// Resolves when the currently open session is lost; at once if none is open. While a caller holds the promise, the
-    /// session is checked with frequent heartbeats.
+    /// Resolves when the currently open session is lost, or at once if no session is open. While a caller holds the
+    /// promise, the session is checked with frequent heartbeats.
     [[nodiscard]] auto whenLost() -> kj::Promise<void>;
-    /// Whether a promise of whenLost() is held, so that an answer is awaited on the session.
+    /// Whether a promise of whenLost() is held, which means that a call awaits an answer on the session.
     [[nodiscard]] auto hasWaiters() const noexcept -> bool { return waiters_ > 0; }
-    /// Records that a message arrived from the target; it counts like an answered heartbeat.
+    /// Records that a message arrived from the target. The message counts like an answered heartbeat.
     auto noteActivity() noexcept -> void { lastActivityAt_ = now(); }
     [[nodiscard]] auto host() const noexcept -> const platform::HostRecord& { return host_; }
     [[nodiscard]] auto isOpen() const noexcept -> bool { return session_.has_value(); }
@@ -63,16 +63,16 @@
     std::optional<wire::schema::TargetSession::Client> session_;
     std::unique_ptr<kj::ForkedPromise<void>> connecting_;
     std::unique_ptr<Lost> lost_;
-    /// Changes whenever a session is opened or lost; callbacks of an earlier session compare it and do nothing.
+    /// Incremented whenever a session is opened or lost. A callback that was created under another value does nothing.
     std::uint64_t generation_ = 0;
     Timer heartbeat_;
     Moment lastActivityAt_ {};
-    /// When the oldest heartbeat without an answer was sent.
+    /// Time when the oldest heartbeat without an answer was sent.
     Moment unansweredSince_ {};
-    /// Promises of whenLost() that are held.
+    /// Number of promises of whenLost() that are held.
     std::size_t waiters_ = 0;
     Moment lastUsed_ {};
-    /// Expires with the link; callbacks hold it weakly.
+    /// Destroyed with the link. Callbacks hold a weak pointer to it, which tells them whether the link still exists.
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/packages/router/filters/Filter.h
+++ b/packages/router/filters/Filter.h
@@ -8,7 +8,7 @@
 
 namespace eelgrass::router {
 
-/// A synchronous step that checks a call and fills in some of its fields, or fails.
+/// A filter is a synchronous step that checks a call and fills in some of its fields, or fails.
 template <typename T>
 concept Filter = requires(T filter, Call& call)
 {
@@ -17,7 +17,7 @@
         } -> std::same_as<Result<void>>;
 };
 
-/// Applies filters to a call in the listed order. Stops at the first one that fails and returns its error.
+/// Applies filters to a call in the listed order. Stops at the first filter that fails and returns its error.
 ///
 /// ```cpp
 /// auto chain = FilterChain(Authenticate(config), Parse(), Authorize(), Resolve());
--- a/packages/router/filters/RequestFilters.cpp
+++ b/packages/router/filters/RequestFilters.cpp
@@ -10,8 +10,8 @@
 
 constexpr auto bearer = std::string_view("Bearer ");
 constexpr auto servicePrefix = std::string_view("/services/");
-// Deeper than the JSON of any client library. A body with deeper nesting could overflow the stack of a recursive
-// parser.
+// No client library sends JSON that is nested this deep. A body with deeper nesting could overflow the stack of a
+// recursive parser.
 constexpr auto maxNestingDepth = 32;
 constexpr auto maxTokensBound = 131072;
 constexpr auto maxDeadline = std::chrono::milliseconds(3600000);
--- a/packages/router/filters/RequestFilters.h
+++ b/packages/router/filters/RequestFilters.h
@@ -14,13 +14,14 @@
     auto apply(Call& call) const -> Result<void>;
 };
 
-/// Checks that the caller may use the requested service, and sets request class, deadline and whether the request may
-/// run only once.
+/// Checks that the caller may use the requested service. Sets the request class, the deadline and whether the request
+/// may run only once.
 struct Authorize {
     auto apply(Call& call) const -> Result<void>;
 };
 
-/// Resolves the requested model to an adapter and a version. The request keeps them if the configuration changes later.
+/// Resolves the requested model to an adapter and a version. The request keeps both, even if the configuration changes
+/// later.
 struct Resolve {
     auto apply(Call& call) const -> Result<void>;
 };
