--- a/packages/serving/AgentLink.cpp
+++ b/packages/serving/AgentLink.cpp
@@ -15,11 +15,11 @@
 // If the first packets of a connection are lost, the kernel retransmits them only after seconds; reconnecting is
 // faster.
 constexpr auto openingTimeout = Duration(2s);
-// Without an update for this long the agent counts as gone. Somewhat more than two heartbeats, for entries in the
-// agent's zone and in other zones.
+// An agent that has sent no update for this long is considered gone. The time is more than two heartbeat intervals; the
+// interval is shorter for entries in the agent's zone than for those in other zones.
 constexpr auto sameZoneSilence = Duration(1500ms);
 constexpr auto otherZoneSilence = Duration(4500ms);
-// An agent sends its figures within 400 ms of a request; the rest is a margin for slow hosts.
+// An agent sends its load figures within 400 ms of a request; the rest of this limit is a margin for slow hosts.
 constexpr auto answerLimit = Duration(1200ms);
 // An agent batches changes for up to this long before it publishes them to entries of its zone and of other zones.
 constexpr auto sameZoneAge = Duration(400ms);
@@ -119,7 +119,7 @@
         item.setOutputTokens(admission.outputTokens);
     }
     auto attached = request.send();
-    // Pipelined with the attachment: the agent cannot admit requests before it has the limits.
+    // The notice is pipelined with the attachment, because the agent cannot admit requests before it has the limits.
     auto client = attached.getSession();
     sendNotice(client);
     return attached
@@ -293,8 +293,8 @@
             const auto answer = response.getAnswer();
             if (*alive && answer.getGranted())
                 granted_.emplace(admission.attempt, admission);
-            // The answer carries figures only. Until an update of the agent has named the replica, it is not known
-            // which start they belong to.
+            // The answer contains load figures only. Until an update from the agent has named the replica, it is not
+            // known which start of the replica the figures belong to.
             if (*alive && state_.receivedAt != Moment() && answer.hasState()) {
                 applyFigures(answer.getState());
                 hooks_.onFigures();
--- a/packages/serving/AgentLink.h
+++ b/packages/serving/AgentLink.h
@@ -61,7 +61,7 @@
     /// Time until the first event misses the latency target, and until the client stops waiting.
     milliseconds timeUntilLate { 0 };
     milliseconds timeUntilGiveUp { 0 };
-    /// Whether another replica can be asked if this one would be late.
+    /// Whether the entry can ask another replica if this one would miss the latency target.
     bool elsewhere = false;
 };
 
@@ -71,7 +71,8 @@
     AdapterVersion version;
     milliseconds retryAfter { 0 };
     std::string reason;
-    /// Refused only because the request would be late here; it could start after `retryAfter`.
+    /// The agent refused the request only because it would miss its latency target at this replica, where it could
+    /// start after `retryAfter`.
     bool late = false;
 };
 
@@ -80,7 +81,7 @@
     MemberId member;
     /// Negative for a refund.
     double amount = 0;
-    /// Configuration version that the rate is from; an agent keeps the rate of the highest version.
+    /// Version of the configuration that sets `rate`. An agent applies the rate of the highest version it has received.
     ConfigVersion version;
     decisions::QuotaRate rate;
 };
@@ -92,7 +93,7 @@
     double level = 0;
 };
 
-/// What an entry announces to the agents it has sessions with.
+/// Data that an entry announces to every agent with which it has a session.
 struct EntryNotice {
     std::shared_ptr<const ServingConfiguration> configuration;
     /// The address at which the entry serves this configuration.
@@ -101,15 +102,15 @@
     double readerWeight = 0;
 };
 
-/// An entry's session with the agent of one replica. Carries admission requests to the agent, and updates on the
-/// replica's state from it.
+/// An entry's session with the agent of one replica. The session carries admission requests to the agent, and updates
+/// of the replica's state to the entry.
 ///
 /// A persistent session stays open; an on-demand session is closed when idle.
 class AgentLink {
 public:
     struct Hooks {
         std::function<void()> onState;
-        /// Called when the answer to an admission request carried the replica's figures.
+        /// Called when the answer to an admission request contains the replica's load figures.
         std::function<void()> onFigures;
     };
     /// The entry at this end. Agents send updates less often to entries of other zones.
@@ -132,15 +133,17 @@
     [[nodiscard]] auto mayOpen() const -> bool;
     /// Opens the session if needed; resolves once it is alive, and is rejected if the agent cannot be reached.
     [[nodiscard]] auto open() -> kj::Promise<void>;
-    /// Drops a session that is still opening when the caller's timeout expires.
+    /// Called when a timeout expires: drops the session if it is still opening.
     auto abandonOpening() -> void;
     [[nodiscard]] auto inSameZone() const noexcept -> bool { return caller_.sameZone; }
-    /// Whether the agent has sent an update since `asked` or still has time to. An agent sends its figures to an entry
-    /// within half a second of a request from it, even while the request waits; one that does not is frozen or cut off.
+    /// Whether the agent has sent an update since `asked`, or its time limit for one has not passed yet. An agent sends
+    /// its load figures to an entry within half a second of the entry's request, even while the request waits; an agent
+    /// that does not is frozen or unreachable.
     [[nodiscard]] auto isResponsive(Moment asked) const -> bool;
-    /// Marks the agent as not responding: it is not asked again before its next update.
+    /// Marks the agent as not responding: it is not asked for admission or quota before its next update.
     auto markUnresponsive() -> void { state_.receivedAt = {}; }
-    /// How far the figures may be out of date: the agent publishes significant changes within this time.
+    /// Upper bound on how far the load figures are out of date, since the agent publishes significant changes within a
+    /// fixed time.
     [[nodiscard]] auto stateAge() const -> Duration;
     [[nodiscard]] auto state() const noexcept -> const ReplicaSnapshot& { return state_; }
     /// Asks for admission. The promise is rejected when the session is lost; to withdraw the request, drop the promise
@@ -148,15 +151,16 @@
     [[nodiscard]] auto admit(const AgentAdmissionRequest& admission) -> kj::Promise<AdmitResult>;
     auto started(const AttemptId& attempt) -> void;
     auto release(const AttemptId& attempt, RunEnd end = RunEnd::Plain) -> void;
-    /// Reports that a request with this digest broke off at a replica, or completed after it had broken off before.
+    /// Reports that a request with this digest broke off at a replica, or that such a request completed after it had
+    /// broken off earlier.
     auto reportSuspect(const std::string& digest, bool broke) -> void;
     /// Counts a request against its member's quota if there is credit. The promise is rejected when the session is
     /// lost.
     [[nodiscard]] auto takeQuota(const QuotaCharge& charge) -> kj::Promise<QuotaDecision>;
-    /// Reports a charge that another agent granted and that left it with `level`, or a refund.
+    /// Reports a refund, or a charge that another agent granted; `level` is the credit that remained at that agent.
     auto noteQuota(const QuotaCharge& charge, double level) -> void;
     [[nodiscard]] auto endpoint() const noexcept -> const Endpoint& { return endpoint_; }
-    /// Cached, because each request of a member with a quota ranks all agents by it.
+    /// Hash of the endpoint, cached because each request of a member with a quota ranks all agents by it.
     [[nodiscard]] auto endpointHash() const noexcept -> std::uint64_t { return endpointHash_; }
     /// Sends the notice now and on every new session.
     auto notify(const EntryNotice& notice) -> void;
@@ -168,7 +172,7 @@
         /// Connecting, or waiting for the agent's first state update.
         Opening,
         Open,
-        /// Lost; waiting for the reconnect delay.
+        /// The session was lost, and the reconnect delay has not passed yet.
         Backoff,
     };
     [[nodiscard]] auto persistent() const noexcept -> bool { return policy_ != decisions::SessionPolicy::OnDemand; }
--- a/packages/serving/AgentOrders.cpp
+++ b/packages/serving/AgentOrders.cpp
@@ -16,7 +16,7 @@
 // Minimum time between two base model orders of this host. All hosts together must stay below the rate of base model
 // loads that the weight store allows.
 constexpr auto baseModelInterval = Duration(5s);
-// An order that waits at the replica for running requests is dropped from the pending ones after this time, so that it
+// An order that waits at the replica for running requests is no longer considered pending after this time, so that it
 // can be sent again; the requests have ended by then.
 constexpr auto maxPendingTime = Duration(3s);
 // No order is sent for this long after a conflict, so that a replica which is carrying out another order is not sent
@@ -96,11 +96,12 @@
     return std::nullopt;
 }
 
-/// Returns the agent's token from the store in the upper bits and the number of replica starts seen to end in the
-/// lower. An order whose answer was lost may be carried out seconds later, after the replica restarted under the same
-/// name and happens to have accepted as many orders as the precondition says; one load too many crashes it. Therefore
-/// orders to each later start carry a higher token, which is still below all tokens of this agent's next process. This
-/// takes no call to the store.
+/// Returns the fencing token for orders: the agent's token from the store in the upper bits, and in the lower bits the
+/// number of replica starts that this process has seen end. An order whose answer was lost may be carried out seconds
+/// later, when the replica has restarted under the same name and has by chance accepted as many orders as the
+/// precondition requires; one load too many crashes the replica. Therefore orders to each later start carry a higher
+/// token, which is still below all tokens of this agent's next process. Raising the lower bits takes no call to the
+/// store.
 auto ReplicaAgent::orderFencingToken() const -> Epoch
 {
     constexpr auto lossBits = 16U;
@@ -141,7 +142,8 @@
     const auto now = loop_.timers().now();
     const auto sequenceAdvanced
         = outcome == hosting::OrderOutcome::Accepted || outcome == hosting::OrderOutcome::Completed;
-    // An order accepted by an earlier start does not count for the current one, which counts from 0.
+    // An order accepted by an earlier start of the replica is not counted, because the current start counts its orders
+    // from 0.
     const auto fromCurrentStart = report_ && order.startTime == report_->startTime;
     if (sequenceAdvanced && fromCurrentStart) {
         report_->sequence = std::max(report_->sequence, order.precondition + 1);
--- a/packages/serving/AgentRole.cpp
+++ b/packages/serving/AgentRole.cpp
@@ -14,12 +14,13 @@
 namespace {
 
 constexpr auto metricClasses = std::size_t(10);
+// How long the agent waits for an entry to send the limits before it reads them from the store, and between reads.
 // Entries attach within a second of the first configuration, which may arrive a few seconds after the agent starts.
 constexpr auto limitsWait = Duration(8s);
 
 } // namespace
 
-/// The session of one entry. When it ends, everything granted to the entry is released.
+/// The session of one entry. When the session ends, everything granted to the entry is released.
 class AgentRole::Session final : public wire::schema::AgentSession::Server {
 public:
     Session(AgentRole& role, std::string entry, bool sameZone)
@@ -217,7 +218,7 @@
 
 auto AgentRole::stop() -> void
 {
-    // Entries continue without this agent: they send requests for what the replica already holds.
+    // Entries continue without this agent: they send the replica only requests for models that it already holds.
     log::info("stopped", { { "sessions", std::to_string(publisher_.entries()) } });
     loop_.quit();
 }
--- a/packages/serving/AgentRole.h
+++ b/packages/serving/AgentRole.h
@@ -41,10 +41,10 @@
     auto fillNames(wire::schema::ReplicaState::Builder state) const -> void;
     [[nodiscard]] auto namesFingerprint() const -> std::string;
     /// Returns the address of the entry that is to read the store for its zone. All agents to which the same entries
-    /// are attached select the same one. Empty if there are too few entries.
+    /// are attached select the same entry. The result is empty if there are too few entries.
     [[nodiscard]] auto reader() const -> std::string;
-    /// Reads the service's limits from the store if no entry has sent them. Without them the replica would not load its
-    /// base model after a power loss.
+    /// Reads the service's limits from the store if no entry has sent them. Without these limits the replica would not
+    /// load its base model after a power loss.
     auto requestLimits() -> void;
     auto applyStoredLimits(const hosting::StoreAnswer& answer) -> void;
     auto applyConfiguration(std::uint64_t version, const std::string& holder,
--- a/packages/serving/Replica.cpp
+++ b/packages/serving/Replica.cpp
@@ -60,7 +60,7 @@
 {
     if (leaving_ || unreadable_ || superseded_ || now < pausedUntil_)
         return false;
-    // After a pause one request is sent; the others wait for its outcome.
+    // After a pause for failures, one request is sent at a time until one succeeds.
     return failures_ < failuresToPause || inFlight_ == 0;
 }
 
--- a/packages/serving/Replica.h
+++ b/packages/serving/Replica.h
@@ -17,7 +17,7 @@
 namespace eelgrass::serving {
 
 /// One start of a replica as this entry knows it: its record in the platform's list, the session with its agent, the
-/// connections to it, and what this entry has observed about it.
+/// connections to the replica, and this entry's own observations of it.
 class Replica {
 public:
     Replica(TimerService& timers, ReplicaRecord record);
@@ -44,8 +44,8 @@
     [[nodiscard]] auto listedAt() const noexcept -> std::optional<Moment> { return listedAt_; }
     auto setListedAt(Moment at) -> void { listedAt_ = std::max(listedAt_.value_or(at), at); }
     /// Whether a list record with this start time shows that a newer start has replaced this one. An earlier start time
-    /// may come from a late heartbeat of an earlier start, which the next heartbeat overwrites; if it persists, it is
-    /// from a newer start on a host whose clock has been set back.
+    /// may come from a late heartbeat of an earlier start, which the next heartbeat overwrites; an earlier start time
+    /// that persists is from a newer start on a host whose clock has been set back.
     [[nodiscard]] auto confirmsNewerStart(const StartTime& startTime, std::uint64_t listVersion) -> bool;
     /// The store has a newer record with the same address: this start is over, or its record is out of date.
     [[nodiscard]] auto superseded() const noexcept -> bool { return superseded_; }
@@ -57,14 +57,14 @@
     auto requestSent(Tokens tokens) -> void;
     auto requestEnded() -> void;
     [[nodiscard]] auto inFlight() const noexcept -> std::size_t { return inFlight_; }
-    /// Called when the agent has reported its figures, which include everything sent before.
+    /// Called when the agent has reported its load figures, which include all requests sent before.
     auto agentReported() -> void
     {
         tokensSent_ = 0;
         loadsRequested_.clear();
     }
     [[nodiscard]] auto tokensSent() const noexcept -> Tokens { return tokensSent_; }
-    /// Notes that a request was sent for admission whose adapter is not loaded at the replica.
+    /// Notes that a request whose adapter is not loaded at the replica was sent to the agent for admission.
     auto noteLoadRequested(const AdapterName& adapter) -> void { loadsRequested_.insert(adapter); }
     [[nodiscard]] auto hasRequestedLoad(const AdapterName& adapter) const -> bool
     {
@@ -85,7 +85,7 @@
     /// The prompt prefixes that this entry has sent to the replica.
     auto prompts() noexcept -> decisions::KnownPrefixes& { return prompts_; }
     [[nodiscard]] auto prompts() const noexcept -> const decisions::KnownPrefixes& { return prompts_; }
-    /// Whether the replica held the adapter recently, so that it still has the weights in its memory.
+    /// Whether the replica held the adapter recently and therefore still has its weights in memory.
     [[nodiscard]] auto warm(const AdapterName& adapter) const -> bool { return recentAdapters_.contains(adapter); }
     /// Notes the adapters that the replica holds now; the `maxRemembered` most recently held ones are remembered.
     auto noteResidentAdapters(const std::map<AdapterName, AdapterVersion>& adapters, std::size_t maxRemembered) -> void
@@ -106,7 +106,7 @@
     bool superseded_ = false;
     std::uint64_t listVersion_ = 0;
     std::optional<Moment> listedAt_;
-    /// Number of consecutive list records with an earlier start time, and the version of the last.
+    /// Number of consecutive list records with an earlier start time, and the store's version of the last such record.
     std::uint32_t earlierStartRecords_ = 0;
     std::uint64_t earlierStartVersion_ = 0;
     std::size_t inFlight_ = 0;
--- a/packages/serving/ReplicaAgent.cpp
+++ b/packages/serving/ReplicaAgent.cpp
@@ -12,21 +12,23 @@
 
 using detail::modelName;
 
-// The replica runs on this host and answers within a millisecond, so a call that fails means that it has ended.
+// The replica runs on this host and answers within a millisecond, so a failed call means that the replica has ended.
 constexpr auto reportTimeout = Duration(400ms);
 // While an adapter is loading, the report is read at intervals of an eighth of the time that the load has taken so far,
-// between these bounds, so that its requests start within one interval of its arrival. A load from the replica's own
-// memory takes some 30 ms, one from the weight store ten times that; each read costs as much as generating a token.
+// between these bounds, so that requests for the adapter start within one interval of the end of the load. A load from
+// the replica's own memory takes some 30 ms, one from the weight store ten times that; each read costs as much as
+// generating a token.
 constexpr auto minBusyInterval = Duration(15ms);
 constexpr auto maxBusyInterval = Duration(50ms);
 constexpr auto busyIntervalDivisor = 8;
 // The interval between reports when no order is in progress.
 constexpr auto idleInterval = Duration(250ms);
-// The health check waits for a place in the replica's batch like any request.
+// The replica is identified by its answer to a health check, which waits for a place in the replica's batch like any
+// request.
 constexpr auto identificationTimeout = Duration(1500ms);
 // Demand shifts within tens of seconds; an adapter that was last wanted a minute ago may be evicted.
 constexpr auto demandHalfLife = Duration(15s);
-// Maximum age of a report when it arrives.
+// How far a report may be out of date when it arrives.
 constexpr auto maxReportLag = Duration(500ms);
 constexpr auto fencingRetryDelay = Duration(500ms);
 constexpr auto fencingTable = "epoch";
@@ -90,8 +92,8 @@
     return milliseconds(decisions::nameHash(settings_.host.name) % static_cast<std::uint64_t>(maxDelay.count()));
 }
 
-/// Writes without reading first, as though no agent had written before. If one had, the store answers with a conflict,
-/// which carries the current row.
+/// Writes the token without reading the row first, as if it did not exist. If the row exists, the store answers with a
+/// conflict that contains the current row.
 auto ReplicaAgent::acquireFencingToken() -> void
 {
     writeFencingToken({ .table = fencingTable, .key = settings_.replica.str() });
@@ -110,7 +112,8 @@
                        });
 }
 
-/// Continues from a timer, because another call from here would replace the promise that is running this function.
+/// Continues from a timer, because another store call from here would replace the promise that is running this
+/// function.
 auto ReplicaAgent::fencingTokenWritten(std::uint64_t token, const hosting::StoreAnswer& answer) -> void
 {
     if (answer.outcome == hosting::StoreOutcome::Conflict && !answer.rows.empty()) {
@@ -177,7 +180,7 @@
 
 auto ReplicaAgent::reportInterval() const -> Duration
 {
-    // A load that waits for a slot needs no report: the end of the run that frees the slot is reported here.
+    // A load that waits for a slot needs no report: this agent is notified when the run that frees the slot ends.
     const auto ordersInProgress = !report_->loading.empty() || report_->orderInProgress || !pendingUnloads_.empty()
         || !pendingReplacements_.empty();
     if (!ordersInProgress)
@@ -199,7 +202,8 @@
         return false;
     if (read.startTime != StartTime() && report_->startTime != StartTime())
         return read.startTime != report_->startTime;
-    // Without start times: fewer orders than before, for longer than a report may lag behind the last order.
+    // If a start time is unknown, a lower order count shows a restart, unless the last order is so recent that the
+    // report may not include it yet.
     return read.sequence < report_->sequence && loop_.timers().now() - orderCountedAt_ >= maxReportLag;
 }
 
@@ -380,8 +384,8 @@
     runPendingWork();
 }
 
-/// If the replica is paused because of this outcome, queued requests are refused so that they can be placed elsewhere,
-/// and all entries are notified at once.
+/// If the replica is paused because of how the run ended, queued requests are refused so that they can be placed
+/// elsewhere, and all entries are notified at once.
 auto ReplicaAgent::recordRunEnd(const AttemptId& attempt, RunEnd end) -> void
 {
     const auto now = loop_.timers().now();
@@ -420,7 +424,8 @@
 
 auto ReplicaAgent::runPendingWork() -> void
 {
-    // A decision may lead to a new request or a release in the same call stack; the outer call handles it.
+    // A decision may lead to a new request or a release in the same call stack; the outer call of this function handles
+    // it.
     if (std::exchange(runningPendingWork_, true))
         return;
     grantRequests();
--- a/packages/serving/ReplicaAgent.h
+++ b/packages/serving/ReplicaAgent.h
@@ -23,10 +23,10 @@
 /// Controls the replica on this host: orders it to load and unload adapters, and decides when each request may be sent
 /// to it. No other process sends orders to the replica.
 ///
-/// One order is sent at a time. Its precondition is the number of orders that the replica had accepted by its last
-/// report. The replica may carry out an order seconds after the answer to it was lost; the precondition then ensures
-/// that the order either meets the state it was made for or has no effect. Without it, a delayed load could fill a slot
-/// a second time, which crashes the replica.
+/// One order is sent at a time. The precondition of an order is the number of orders that the replica had accepted by
+/// its last report. The replica may carry out an order seconds after the answer to it was lost; the precondition then
+/// ensures that the order either meets the state it was made for or has no effect. Without it, a delayed load could
+/// fill a slot a second time, which crashes the replica.
 class ReplicaAgent {
 public:
     /// The decision on a request: granted with the adapter version that the replica holds, or refused.
@@ -39,7 +39,7 @@
         bool late = false;
         /// Time that the request spent in the admission queue.
         Duration waited {};
-        /// The part of `waited` before its adapter was loaded.
+        /// The part of `waited` that passed before the request's adapter was loaded.
         Duration waitedForAdapter {};
     };
     using OnDecision = std::function<void(const AttemptId&, const Decision&)>;
@@ -49,7 +49,7 @@
         OnChange onChange);
 
     auto start() -> void;
-    /// Applies what the configuration says about the replica's service.
+    /// Applies the configuration of the replica's service.
     auto configure(decisions::ReplicaLimits limits, std::size_t adapterSlots, const BaseModel& base,
         const std::string& healthPath) -> void;
 
@@ -77,7 +77,7 @@
     [[nodiscard]] auto loading() const -> std::vector<AdapterName>;
     [[nodiscard]] auto spareSlots() const -> std::size_t;
     [[nodiscard]] auto loadsWaiting() const noexcept -> std::size_t { return wantedAdapters_.size(); }
-    /// Prompt tokens that the replica has to read before a request that arrives now.
+    /// Prompt tokens that the replica has to read before those of a request that arrives now.
     [[nodiscard]] auto tokensAhead() const -> Tokens;
     /// Prompt tokens of requests that wait for their adapters.
     [[nodiscard]] auto tokensWaiting() const -> Tokens;
@@ -101,8 +101,8 @@
     [[nodiscard]] auto isFromLaterStart(const hosting::ReplicaReport& read) const -> bool;
     [[nodiscard]] auto firstFencingDelay() const -> Duration;
     auto handleReportFailure(const std::string& reason) -> void;
-    /// Asks the replica for its instance name. Orders carry it, so that none is accepted by the instance that follows a
-    /// restart.
+    /// Asks the replica for its instance name. Each order carries this name, so that an instance with another name that
+    /// follows a restart does not accept it.
     auto identify() -> void;
     auto identified(const std::string& failure) -> void;
     auto resetReplicaState(std::string_view reason) -> void;
--- a/packages/serving/Settings.cpp
+++ b/packages/serving/Settings.cpp
@@ -51,8 +51,8 @@
     into = milliseconds(value);
 }
 
-/// Once the bound has passed without news from the store, requests with a key are refused. The bound must therefore
-/// leave time for an answer from the store, or every such request would be refused.
+/// Reads the time without news from the store after which requests with a key are refused. This bound must leave time
+/// for an answer from the store, or every such request would be refused.
 auto readKeyBound(MapReader& reader, std::optional<milliseconds>& into) -> void
 {
     constexpr auto minBound = milliseconds(1000);
--- a/packages/serving/Settings.h
+++ b/packages/serving/Settings.h
@@ -26,28 +26,28 @@
 
 /// How far members may temporarily exceed their quotas.
 struct QuotaBounds {
-    /// A fraction of the limit in each window, and a number of units in addition.
+    /// The excess allowed in each window: `overage` is a fraction of the limit, and `slack` a number of units in
+    /// addition.
     double overage = 0;
     double slack = 0;
     milliseconds window { 10000 };
 };
 
-/// Settings of `--role=gateway`.
+/// Settings of an entry, which is a process with `--role=gateway`.
 struct GatewaySettings {
     HostSettings host;
     /// Addresses on which clients, the readiness probe and other entries connect.
     Endpoint clients;
     Endpoint readiness;
     Endpoint peers;
-    /// Entries to ask for data that the store does not provide.
+    /// Other entries, which are asked for data that the store does not provide.
     std::vector<Endpoint> seeds;
     decisions::RetryBounds retries;
-    /// Time limits within which a draining replica receives no new requests, and within which a new configuration is in
-    /// force.
+    /// Time limits until a draining replica receives no more new requests, and until a new configuration is in force.
     milliseconds drainBound { 2000 };
     milliseconds configurationBound { 2000 };
-    /// Time limit within which a revoked key stops working, even at an entry that cannot learn of the revocation. Empty
-    /// if such an entry may go on with the configuration it has.
+    /// Time limit until a revoked key stops working, even at an entry that cannot learn of the revocation. Empty if
+    /// such an entry may continue with its current configuration.
     std::optional<milliseconds> keyBound;
     QuotaBounds quotas;
     /// Share of a core available to this process. The entry with the largest share reads the store for its zone.
@@ -60,7 +60,7 @@
     milliseconds zonePenaltyPerKiB { 4 };
 };
 
-/// Settings of `--role=agent`.
+/// Settings of an agent, which is a process with `--role=agent`.
 struct AgentSettings {
     HostSettings host;
     /// The replica on this host, and the service it belongs to.
--- a/packages/serving/StatePublisher.h
+++ b/packages/serving/StatePublisher.h
@@ -24,7 +24,7 @@
     /// Callbacks that supply the state to publish.
     struct Source {
         std::function<decisions::ReplicaLoad()> figures;
-        /// Returns a text that differs whenever what `fillNames` would fill in differs.
+        /// Returns a text that changes whenever the data that `fillNames` fills in changes.
         std::function<std::string()> namesFingerprint;
         std::function<void(wire::schema::ReplicaState::Builder)> fillNames;
     };
@@ -56,8 +56,8 @@
         decisions::ReplicaLoad figures;
         Moment publishedAt {};
         Moment requestedAt {};
-        /// The call of the last update. It is kept until the next update, so that its Finish message is sent along with
-        /// that one; sent alone, the message would wake the entry for nothing.
+        /// The RPC call that sent the last update. The call is kept until the next update, so that its Finish message
+        /// is sent together with that update; sent alone, the message would wake the entry for nothing.
         kj::Promise<void> call = kj::READY_NOW;
     };
     struct Group {
--- a/packages/serving/Types.h
+++ b/packages/serving/Types.h
@@ -42,7 +42,8 @@
     enum class Unit { Requests, Tokens };
 
     Unit unit = Unit::Requests;
-    /// Units per second, and how many more may be used at once. A rate of 0 sets no limit.
+    /// The rate in units per second, and the burst: the number of units that may be used at once beyond that rate. A
+    /// rate of 0 sets no limit.
     double ratePerSecond = 0;
     double burst = 0;
     /// Tokens counted for a request that does not state its token count.
