--- a/tests/integration/BadInput.cpp
+++ b/tests/integration/BadInput.cpp
@@ -94,8 +94,9 @@
     expectOthersAreServed();
 }
 
-// A caller announces a body of 1 GB, or sends an endless one in chunks. The entry must refuse it at the announcement,
-// or as soon as the limit is exceeded, and must not store what arrives after that.
+// A caller declares a body of 1 GB in its Content-Length, or sends an endless body in chunks. The entry must refuse the
+// request on reading the header, or as soon as the limit is exceeded, and must not store any bytes of the body that
+// arrive after the refusal.
 BOOST_FIXTURE_TEST_CASE(an_oversized_body_is_refused_before_it_is_buffered, Fixture)
 {
     auto announced = RawCaller(deployment.entryUrl("e1"));
@@ -135,7 +136,7 @@
 }
 
 // A caller that begins a request and never completes it may occupy only its connection. The entry must close the
-// connection after the silence that the settings allow.
+// connection after the idle time that the settings allow.
 BOOST_FIXTURE_TEST_CASE(an_incomplete_request_times_out_and_delays_no_other_caller, Fixture)
 {
     deployment.addEntry("e2", "caller_silence_s: 1\n");
--- a/tests/integration/CallerExchange.cpp
+++ b/tests/integration/CallerExchange.cpp
@@ -78,8 +78,8 @@
 } // namespace
 
 // Guards against a client that takes a late answer to its first request for the answer to its second. The first request
-// is answered, as when its deadline passes, and the next one arrives on the same connection. Then an operation of the
-// first request fails, and its handler answers again.
+// is answered, for example because its deadline has passed, and the second request arrives on the same connection. Then
+// an operation of the first request fails, and its handler answers again.
 BOOST_AUTO_TEST_CASE(a_second_answer_does_not_reach_the_next_request)
 {
     auto client = Client();
@@ -94,7 +94,8 @@
     BOOST_TEST(client.misuses == 1);
 }
 
-// The same without a second request: the client would get a 200 that it never requested.
+// A second answer is written while the client has no request in progress. The client must not receive it: it would get
+// a 200 that it never requested.
 BOOST_AUTO_TEST_CASE(a_second_answer_does_not_reach_an_idle_connection)
 {
     auto client = Client();
--- a/tests/integration/Callers.cpp
+++ b/tests/integration/Callers.cpp
@@ -63,7 +63,7 @@
     BOOST_TEST(true);
 }
 
-// As above, but before anything was sent to the caller: the closed connection must be noticed without a write.
+// The caller disconnects before anything was sent to it. The entry must notice the closed connection without a write.
 BOOST_FIXTURE_TEST_CASE(a_caller_that_hangs_up_on_a_non_streamed_answer_cancels_its_attempt_at_the_engine, Fixture)
 {
     auto caller = RawCaller(deployment.entryUrl("e1"));
--- a/tests/integration/ConfigurationOrder.cpp
+++ b/tests/integration/ConfigurationOrder.cpp
@@ -126,8 +126,8 @@
     BOOST_TEST(deployment.patch("e2", 2, inForcePatch(2)).status == 200);
 }
 
-// A request must be answered although the weight store fails twice. After three failed loads it is refused as "not
-// run" and told when to retry.
+// The weight store fails twice, and the request must still be answered. After three failed loads, the request is
+// refused as "not run", with a retry delay.
 BOOST_AUTO_TEST_CASE(a_failing_weight_store_is_retried_and_then_reported)
 {
     auto deployment = TwoEntries();
--- a/tests/integration/CountOfSessions.cpp
+++ b/tests/integration/CountOfSessions.cpp
@@ -59,10 +59,10 @@
 
 } // namespace
 
-// An entry must not open a session to each target of the fleet, or read the whole host list every second. It would
-// spend its budget for control traffic on targets that it never uses: with 400 entries and 2,200 targets there would be
-// 880,000 sessions. The same requests are sent in a small fleet and in one with 200 more targets. In both, there is at
-// most one session for each target that can answer, and the whole list is read once.
+// An entry must not open a session to each target of the fleet, or read the whole host list every second. Otherwise the
+// entry would spend its budget for control traffic on targets that it never uses: with 400 entries and 2,200 targets
+// there would be 880,000 sessions. The same requests are sent in a small fleet and in one with 200 more targets. In
+// both fleets, there is at most one session for each target that can answer, and the whole list is read once.
 BOOST_AUTO_TEST_CASE(sessions_and_list_reads_depend_on_the_targets_used_not_on_the_fleet)
 {
     const auto small = countsInFleet(0);
--- a/tests/integration/Fence.cpp
+++ b/tests/integration/Fence.cpp
@@ -43,22 +43,24 @@
 
 } // namespace
 
-// Two processes believe that they own the same engine: the first was suspended, replaced and resumed. It must not order
-// anything, and callers must get correct answers. This engine itself refuses orders with an old epoch.
+// Two processes believe that they own the same engine: the first was suspended, replaced and resumed. The first process
+// must not send orders to the engine, and callers must get correct answers. This engine itself refuses orders with an
+// old epoch.
 BOOST_AUTO_TEST_CASE(a_replaced_owner_is_fenced_by_an_engine_that_checks_epochs)
 {
     testTakeover({ "--slots=1", "--fence=true" }, "slots: 1, honours_fence: true");
 }
 
-// The same with an engine that ignores epochs: the old owner itself must detect that it was replaced.
+// An engine that ignores epochs does not refuse the orders of a replaced owner, so the old owner itself must detect
+// that it was replaced.
 BOOST_AUTO_TEST_CASE(a_replaced_owner_stops_itself_if_the_engine_ignores_epochs)
 {
     testTakeover({ "--slots=1", "--fence=false" }, "slots: 1, honours_fence: false");
 }
 
 // A target process is suspended with a start request in its socket. The entry closes the session and uses another
-// target. When the process resumes, it pings the entry before it starts the attempt, and must drop it because the
-// session is closed.
+// target. When the process resumes, it pings the entry before it starts the attempt, and must drop the attempt because
+// the session is closed.
 BOOST_AUTO_TEST_CASE(a_start_received_by_a_suspended_process_is_not_run)
 {
     auto deployment = Deployment();
--- a/tests/integration/LongAnswers.cpp
+++ b/tests/integration/LongAnswers.cpp
@@ -5,10 +5,10 @@
 using namespace eelgrass;
 using namespace eelgrass::tests;
 
-// An answer streams for longer than a target process tolerates silence on a session. The entry sends no heartbeats
-// while chunks arrive, since the chunks show that the target is alive. The target process must count the
-// acknowledgements of its chunks as activity as well. Otherwise it drops the session every few seconds, and all running
-// answers of that entry have to be resumed.
+// An answer streams for longer than the idle time after which a target process drops a session. The entry sends no
+// heartbeats while chunks arrive, since the chunks show that the target is alive. The target process must therefore
+// count the acknowledgements of its chunks as activity. Otherwise it drops the session every few seconds, and all
+// running answers of that entry have to be resumed.
 BOOST_AUTO_TEST_CASE(a_session_stays_open_while_chunks_are_sent_on_it)
 {
     auto deployment = Deployment();
--- a/tests/integration/ManyAgents.cpp
+++ b/tests/integration/ManyAgents.cpp
@@ -61,7 +61,7 @@
         const auto name = std::to_string(request);
         BOOST_TEST(fleet.ask("attempt-" + name, "a" + name, 0).status == 200);
     }
-    // At most one for each request, plus a margin for retries at another replica.
+    // At most one further session for each request, plus a margin for retries at another replica.
     BOOST_TEST(openSessions(fleet.world.gateway()) <= persistentInOneZone + 25);
 }
 
--- a/tests/integration/PlannedStops.cpp
+++ b/tests/integration/PlannedStops.cpp
@@ -25,7 +25,7 @@
     /// Sets the entries that callers send to, as a load balancer would.
     auto setEntries(std::vector<std::string> entries) -> void { entries_ = std::move(entries); }
     [[nodiscard]] auto answered() const -> int { return answered_; }
-    /// Waits for so many further answers.
+    /// Waits until the callers have received `count` more answers.
     auto awaitAnswers(int count) -> void
     {
         const auto until = answered_ + count;
@@ -81,9 +81,9 @@
 } // namespace
 
 // Every process of the system is restarted, one after another, under load, and no request may fail. A stopping target
-// refuses new attempts and finishes those it has. A stopping entry reports not ready, keeps serving for the balancer's
-// delay and finishes its calls. The platform's list still shows a stopped target for a while; the entries must rely on
-// the state that the target itself pushed.
+// refuses new attempts and finishes its running ones. A stopping entry reports not ready, keeps serving for the
+// balancer's delay and finishes its calls. The platform's list still shows a stopped target for a while; the entries
+// must rely on the state that the target itself pushed.
 BOOST_AUTO_TEST_CASE(a_rolling_restart_of_all_processes_fails_no_request)
 {
     auto deployment = Deployment();
@@ -139,7 +139,7 @@
         return !busy.empty();
     });
     deployment.target(busy).signal(SIGTERM);
-    // From here on the target has handled the signal and may start nothing new.
+    // Once the target logs "leaving", it has handled the signal and may not start new attempts.
     deployment.target(busy).waitForLog("leaving");
     deployment.target(busy).signal(SIGTERM);
     for (auto turn = 0; turn < 5; ++turn)
--- a/tests/integration/ServingAgents.cpp
+++ b/tests/integration/ServingAgents.cpp
@@ -33,7 +33,7 @@
 }
 
 // Every order carries the fencing token and the number of orders before it. The token has the agent's number from the
-// store in its upper bits, and the number of replica starts that the agent has seen end in its lower bits.
+// store in its upper bits, and the number of replica starts whose end the agent has seen in its lower bits.
 BOOST_AUTO_TEST_CASE(orders_carry_fencing_token_and_precondition)
 {
     auto world = ServingWorld(1, 0);
@@ -109,8 +109,8 @@
     BOOST_TEST(world.ask({ .attempt = "three", .adapter = "unknown" }).status == 503);
 }
 
-// Requests that arrive after a newer version of their adapter was announced run on that version. The order that loads
-// it is sent only once while the replica is carrying it out.
+// Requests that arrive after a newer version of their adapter was announced run on that version. The order to load the
+// new version is sent only once while the replica is carrying it out.
 BOOST_AUTO_TEST_CASE(a_newer_version_is_loaded_before_requests_run)
 {
     auto world = ServingWorld(1, 0);
@@ -124,8 +124,8 @@
     BOOST_TEST(world.engine(0).orders().size() == 2U);
 }
 
-// The replica accepts each request and breaks it off before the first event, while its report looks healthy. Callers of
-// the first gateway lose three requests. The second gateway, which sent none, learns from the agent that the replica is
+// The replica accepts each request and aborts it before the first event, while its report looks healthy. Callers of the
+// first gateway lose three requests. The second gateway has sent none; it learns from the agent that the replica is
 // paused, and sends nothing.
 BOOST_AUTO_TEST_CASE(replica_that_breaks_off_is_paused_for_every_gateway)
 {
@@ -143,7 +143,8 @@
 }
 
 // A replica has restarted at the same address, and the list still contains its earlier start. Guards against sending
-// requests to that one: they would be returned without having run, and each would use up part of the retry budget.
+// requests to the earlier start: they would be returned without having run, and each would use up part of the retry
+// budget.
 BOOST_AUTO_TEST_CASE(earlier_start_of_a_replica_receives_no_requests)
 {
     auto world = ServingWorld(0, 1);
@@ -168,8 +169,9 @@
     BOOST_TEST(world.until([&] { return replicas.at(0)->agent()->state().resident.contains(AdapterId("a7")); }));
 }
 
-// A replica restarts, and its health check answers without stating its instance. The agent asks again until it does.
-// Guards against a crash of the agent that occurred when it asked again from within the handler of the previous answer.
+// A replica restarts, and its health check answers without stating its instance. The agent repeats the check until an
+// answer states the instance. Guards against a crash of the agent that occurred when it repeated the check from within
+// the handler of the previous answer.
 BOOST_AUTO_TEST_CASE(replica_that_does_not_state_its_instance_is_asked_again)
 {
     auto world = ServingWorld(1, 0);
--- a/tests/integration/ServingCalls.cpp
+++ b/tests/integration/ServingCalls.cpp
@@ -67,7 +67,7 @@
 }
 
 // Guards against handing one member's answer to another. The replica sends an answer to a different request before the
-// right one; it names another attempt and is skipped.
+// right one; the wrong answer names another attempt and is skipped.
 BOOST_AUTO_TEST_CASE(answer_to_another_request_is_skipped)
 {
     auto world = ServingWorld(0, 2);
@@ -79,7 +79,7 @@
 }
 
 // An idempotent call that fails at one replica is answered by another one. A replica's own failure is returned only
-// when both failed.
+// when both replicas failed.
 BOOST_AUTO_TEST_CASE(an_idempotent_call_is_tried_at_a_second_replica)
 {
     auto world = ServingWorld(0, 2);
@@ -121,7 +121,7 @@
     auto world = ServingWorld(1, 2);
     world.startGateway();
     BOOST_TEST(world.ask({ .path = "/once/x", .attempt = "one" }).status == 200);
-    // Moved to a service that has no replica.
+    // The new configuration routes to a service that has no replica.
     world.configure(5, "nobody");
     BOOST_TEST(world.until([&] { return world.ask({ .path = "/once/x", .attempt = "two" }).status == 503; }));
     world.configure(4);
--- a/tests/integration/ServingMembers.cpp
+++ b/tests/integration/ServingMembers.cpp
@@ -21,7 +21,7 @@
     return { { "name", name }, { "apiKeys", { key } }, { "priority", 2 } };
 }
 
-/// A world in which callers need a key; `/safe/` is open to all.
+/// A test deployment in which callers need a key, except for the path `/safe/`.
 struct Members {
     explicit Members(std::size_t engines = 0)
         : world(engines, 1)
@@ -119,7 +119,8 @@
 }
 
 // Guards against serving a member whose key was removed while its request waited for admission. The request waits for
-// an adapter that loads slowly, the key is removed, and the request is admitted; it must not be sent.
+// an adapter that loads slowly, the key is removed, and the request is admitted. The request must not be sent to the
+// replica.
 BOOST_AUTO_TEST_CASE(key_is_checked_again_before_sending)
 {
     auto members = Members(1);
@@ -139,8 +140,9 @@
     BOOST_TEST(members.ask(otherKey, "a3").status == 200);
 }
 
-// Guards against accepting a key that may have been removed while the store was unreachable. After the bound for keys
-// no request with a key is sent and the entry is not ready. Once the store answers again, requests are served.
+// Guards against accepting a key that may have been removed while the store was unreachable. Once `keyBound` has passed
+// without a confirmation of the configuration, no request with a key is sent to a replica and the entry is not ready.
+// Once the store answers again, requests are served.
 BOOST_AUTO_TEST_CASE(entry_cut_off_from_the_store_accepts_no_key)
 {
     auto members = Members();
--- a/tests/integration/ServingProcess.cpp
+++ b/tests/integration/ServingProcess.cpp
@@ -77,8 +77,8 @@
 
 } // namespace
 
-// A planned stop while the replica of a stream is silent. The stream cannot end within the grace period and is aborted;
-// the process still exits with 0.
+// The gateway is told to stop while the replica of a stream is silent. The stream cannot end within the grace period
+// and is aborted; the process still exits with 0.
 BOOST_AUTO_TEST_CASE(stop_aborts_a_silent_stream_and_exits_with_0)
 {
     auto world = World();
@@ -91,8 +91,8 @@
     BOOST_TEST(world.gateway->exitCode() == 0);
 }
 
-// The same while a request waits for an adapter that the replica never finishes loading. Events left in the event
-// loop's queue at the end of the stop once made the process exit with an error.
+// The gateway is told to stop while a request waits for an adapter that the replica never finishes loading. Events left
+// in the event loop's queue at the end of the stop once made the process exit with an error.
 BOOST_AUTO_TEST_CASE(stop_during_a_pending_admission_exits_with_0)
 {
     auto world = World();
--- a/tests/integration/ServingStarts.cpp
+++ b/tests/integration/ServingStarts.cpp
@@ -97,8 +97,8 @@
     BOOST_TEST(world.ask({ .attempt = "back" }).status == 200);
 }
 
-// A late heartbeat of an earlier start does not bring that start back. An earlier birth that persists over several
-// heartbeats is accepted as a new start, on a host whose clock has been set back.
+// A late heartbeat of an earlier start of a replica does not bring that start back. If an earlier start time persists
+// over several heartbeats, it is accepted as a new start on a host whose clock has been set back.
 BOOST_AUTO_TEST_CASE(late_heartbeat_of_an_earlier_start_is_ignored)
 {
     auto world = ServingWorld(1, 0);
--- a/tests/integration/ServingStops.cpp
+++ b/tests/integration/ServingStops.cpp
@@ -7,8 +7,8 @@
 using eelgrass::tests::ServingWorld;
 
 // When an entry is told to stop, its running requests are answered completely, and the answers announce that the
-// connection closes. Otherwise a client would send its next request on the connection, and that would be cut when the
-// entry exits.
+// connection closes. Otherwise a client would send its next request on the connection, and the request would be cut off
+// when the entry exits.
 BOOST_AUTO_TEST_CASE(stop_completes_running_answers_and_closes_the_connection)
 {
     auto world = ServingWorld(0, 1);
--- a/tests/integration/ServingStreams.cpp
+++ b/tests/integration/ServingStreams.cpp
@@ -85,8 +85,8 @@
 }
 
 // Guards against one request crashing replica after replica. Each run ends with a reset by the replica, and the client
-// keeps sending the request. After three breaks without a success in between it is not sent any more; other requests
-// are.
+// keeps sending the request. After three resets without a success in between, the request is not sent to replicas any
+// more; other requests are.
 BOOST_AUTO_TEST_CASE(request_is_blocked_after_three_breaks)
 {
     auto world = ServingWorld(2, 0);
@@ -102,7 +102,7 @@
     BOOST_TEST(world.ask({ .attempt = "last", .body = "poison" }).status == 502);
 }
 
-// A replica stops working when the client disconnects in the middle of a stream.
+// A replica aborts the run when the client disconnects in the middle of a stream.
 BOOST_AUTO_TEST_CASE(client_disconnect_cancels_the_run)
 {
     auto world = ServingWorld(1, 0);
--- a/tests/integration/SharedReading.cpp
+++ b/tests/integration/SharedReading.cpp
@@ -21,7 +21,7 @@
         for (auto index = std::size_t(0); index < entries; ++index)
             world.startGateway();
         BOOST_REQUIRE(world.until([&] { return settled(); }));
-        // The reader has only just started to read for the others.
+        // The reader has only just started to read for the others, so two further reads are awaited.
         const auto begun = storeReads();
         BOOST_REQUIRE(world.until([&] { return storeReads() >= begun + 2 && settled(); }));
     }
@@ -87,7 +87,8 @@
     BOOST_TEST(readers == 1);
 }
 
-// Guards against a reader whose long poll outlasts the time for which its answers spare the followers.
+// Guards against a reader whose long poll takes longer than the time for which its last answer lets the followers skip
+// their own reads.
 BOOST_AUTO_TEST_CASE(only_the_reader_long_polls_the_configuration)
 {
     auto zone = Zone();
@@ -144,9 +145,9 @@
     BOOST_TEST(world.until(followed));
 }
 
-// Guards against a zone that keeps a reader refused by the store, so that every entry reads for itself.
-// The entry with the largest processor share reads until the store refuses it alone; another entry then reads, and the
-// first one follows it.
+// Guards against a zone that keeps a reader that the store refuses, so that every entry reads for itself. The entry
+// with the largest processor share reads until the store refuses this entry alone; another entry then becomes the
+// reader, and the refused one follows it.
 BOOST_AUTO_TEST_CASE(a_reader_that_the_store_refuses_is_replaced)
 {
     auto world = ServingWorld(2, 1);
@@ -165,7 +166,7 @@
     }));
 }
 
-// The same for the configuration and the adapter versions.
+// All entries of a zone also get a new configuration and new adapter versions when only one entry reads the store.
 BOOST_AUTO_TEST_CASE(all_entries_get_a_new_configuration_and_adapter_version)
 {
     auto zone = Zone();
@@ -209,8 +210,8 @@
     BOOST_TEST(zone.each([&](serving::GatewayRole& gateway) { return !zone.leaving(gateway); }) == entries);
 }
 
-// If a new reader waited for its pending long poll, every other entry of the zone would poll the store itself
-// meanwhile.
+// A new reader must read the table at once. If it waited for its pending long poll, every other entry of the zone would
+// poll the store itself meanwhile.
 BOOST_AUTO_TEST_CASE(a_new_reader_reads_the_table_while_its_long_poll_is_pending)
 {
     auto world = ServingWorld(1, 1);
--- a/tests/integration/Snapshots.cpp
+++ b/tests/integration/Snapshots.cpp
@@ -36,7 +36,8 @@
 BOOST_AUTO_TEST_CASE(a_new_entry_reads_few_rows_regardless_of_the_patch_count)
 {
     constexpr auto patches = std::uint64_t(230);
-    // Far more than one start needs, because polls continue meanwhile, and far fewer than the number of patches.
+    // The bound is far above the reads that one start needs, because polls continue meanwhile, and far below the number
+    // of patches.
     constexpr auto fewReads = std::uint64_t(100);
     auto deployment = Deployment();
     deployment.addEntry("e1");
--- a/tests/unit/AdmissionQueue.cpp
+++ b/tests/unit/AdmissionQueue.cpp
@@ -112,9 +112,9 @@
     BOOST_TEST(queue.running() == 0U);
 }
 
-// A burst of ten seconds at three times the capacity of the engine: prompts of 9,000 tokens mixed with prompts of 800.
-// The engine processes prompts in the order granted. Most short prompts must be on time, refusals must come early, and
-// every granted prompt must be processed before its caller leaves.
+// Prompts arrive for ten seconds at three times the capacity of the engine: prompts of 9,000 tokens mixed with prompts
+// of 800. The engine processes prompts in the order granted. Most short prompts must be on time, refusals must come
+// early, and every granted prompt must be processed before its caller leaves.
 BOOST_AUTO_TEST_CASE(short_prompts_are_on_time_in_a_burst_of_long_ones)
 {
     constexpr auto rate = 40.0;
--- a/tests/unit/CircuitBreaker.cpp
+++ b/tests/unit/CircuitBreaker.cpp
@@ -69,8 +69,8 @@
     BOOST_TEST(breaker.failureShare(Moment(11s)) < 0.01);
 }
 
-// After the pause one probe request is admitted. A stream from before the pause that ends well does not close the
-// breaker.
+// After the pause one probe request is admitted. A stream that began before the pause and ends without error does not
+// close the breaker.
 BOOST_AUTO_TEST_CASE(one_probe_is_admitted_after_the_pause)
 {
     auto breaker = CircuitBreaker();
@@ -88,7 +88,7 @@
     BOOST_TEST(!breaker.open());
 }
 
-// The caller of the probe request leaves: another probe is admitted.
+// If the caller of the probe request leaves, another probe is admitted.
 BOOST_AUTO_TEST_CASE(a_probe_without_result_allows_the_next)
 {
     auto breaker = CircuitBreaker();
--- a/tests/unit/ConfigurationFreshness.cpp
+++ b/tests/unit/ConfigurationFreshness.cpp
@@ -30,7 +30,7 @@
 }
 
 // An entry that is cut off from the store asks a peer that is cut off as well. Each answer is new, but the confirmation
-// in it keeps getting older.
+// that the answer passes on keeps getting older.
 BOOST_AUTO_TEST_CASE(a_peers_confirmation_keeps_its_age)
 {
     auto freshness = ConfigurationFreshness(5s);
@@ -50,7 +50,8 @@
 }
 
 // Guards against refusing requests because the answers to long polls appear outdated. A fast answer first gives the
-// offset of the clocks. The answer to a poll that waits two seconds is then as old as its transmission, not its wait.
+// offset of the clocks. When a poll then waits two seconds for its answer, the age of the answer is the time of its
+// transmission, without the wait.
 BOOST_AUTO_TEST_CASE(a_long_poll_confirms_as_of_its_answer)
 {
     auto clock = RemoteClock();
--- a/tests/unit/LoadQueue.cpp
+++ b/tests/unit/LoadQueue.cpp
@@ -12,8 +12,9 @@
 
 } // namespace
 
-// Many callers wait at one target, and a single caller at another target that requested its load earlier. One load runs
-// at a time, and in order of arrival the many would wait behind the single one; the load for the many must go first.
+// Many callers wait at one target, and a single caller waits at another target that requested its load earlier. One
+// load runs at a time. In order of arrival, the many callers would wait for the load of the single one; the load for
+// the many callers must run first.
 BOOST_AUTO_TEST_CASE(the_load_that_most_callers_wait_for_goes_first)
 {
     auto queue = LoadQueue();
--- a/tests/unit/PollSchedule.cpp
+++ b/tests/unit/PollSchedule.cpp
@@ -46,7 +46,8 @@
 }
 
 // The platform is unavailable for a minute and returns. The pollers must not cause a burst: there are fewer polls than
-// usual during the outage, and no tenth of a second afterwards has twice the even share of 40 or more.
+// usual during the outage, and every tenth of a second afterwards has fewer than 80 polls, twice the 40 of an even
+// distribution.
 BOOST_AUTO_TEST_CASE(an_outage_ends_without_a_burst)
 {
     const auto polls = pollsPerTenth(400, 60s, 90s);
--- a/tests/unit/PrefillRate.cpp
+++ b/tests/unit/PrefillRate.cpp
@@ -26,8 +26,8 @@
     BOOST_TEST(PrefillRate(40).perMillisecond() == 40, boost::test_tools::tolerance(0.001));
 }
 
-// A replica processes prompts at two thirds of its peers' rate and is idle most of the time. Its rate must be low, and
-// that of an equally idle peer must not.
+// A replica processes prompts at two thirds of its peers' rate and is idle most of the time. Its estimated rate must be
+// low, and the estimate for an equally idle peer must not.
 BOOST_AUTO_TEST_CASE(a_slow_replica_is_detected_and_idle_time_does_not_count)
 {
     auto slow = PrefillRate(40);
--- a/tests/unit/QuotaBucket.cpp
+++ b/tests/unit/QuotaBucket.cpp
@@ -54,8 +54,8 @@
         BOOST_TEST(bucket.take(9000, start + count * 333ms).granted);
 }
 
-// Guards against one member occupying the replicas that others wait for. A member that sends sixteen times its limit
-// gets the limit, the burst and the lenience.
+// Guards against one member occupying the replicas that others wait for. A member that sends sixteen times its limit is
+// granted its limit, and at most the burst and the lenience beyond it.
 BOOST_AUTO_TEST_CASE(a_member_far_over_its_limit_gets_its_limit)
 {
     auto bucket = fullBucket(rate);
@@ -77,9 +77,9 @@
     BOOST_TEST(bucket.take(1, start + 4s).granted);
 }
 
-// Guards against refused requests that are all sent again at the same moment, when all but one are refused again. Each
-// of several refused requests gets a retry delay that is longer than the previous one by the time in which the credit
-// for one request accrues.
+// Guards against refused requests that are all sent again at the same moment, so that all but one would be refused
+// again. Each of several refused requests gets a longer retry delay than the one before; the difference is the time in
+// which the credit for one request accrues.
 BOOST_AUTO_TEST_CASE(refused_requests_get_staggered_retry_delays)
 {
     auto bucket = fullBucket({ .perSecond = 100, .burst = 100, .lenience = 0 });
--- a/tests/unit/ReplicaChoice.cpp
+++ b/tests/unit/ReplicaChoice.cpp
@@ -64,8 +64,9 @@
     BOOST_TEST(first.value() == 2 - second.value());
 }
 
-// Zipf-distributed demand over 3,000 adapters on nine replicas, each with seven slots and 42 adapters in host memory.
-// Counts the fetches from the weight store; the baseline chooses replicas at random and needs more than twice as many.
+// Requests follow a Zipf distribution over 3,000 adapters on nine replicas, each with seven slots and 42 adapters in
+// host memory. The test counts the fetches from the weight store; the baseline chooses replicas at random and needs
+// more than twice as many.
 BOOST_AUTO_TEST_CASE(adapters_are_reloaded_where_they_are_in_host_memory)
 {
     constexpr auto replicas = std::size_t(9);
@@ -129,9 +130,9 @@
     }
 }
 
-// A prompt of 9,000 tokens, and ten running streams on each of two replicas, one of which is a third slower. On the
-// slow replica the streams would pause for more than 300 ms, so the fast one is chosen although it has work ahead. A
-// prompt of 800 tokens causes no such pause and goes to the slow replica, which is free.
+// Ten streams run on each of two replicas, one of which is a third slower, and a prompt of 9,000 tokens arrives. On the
+// slow replica the prompt would make the streams pause for more than 300 ms, so the fast one is chosen although it has
+// work ahead. A prompt of 800 tokens causes no such pause and goes to the slow replica, which is free.
 BOOST_AUTO_TEST_CASE(long_prompts_avoid_slow_replicas_with_running_streams)
 {
     auto views = std::vector { replica("fast"), replica("slow") };
@@ -149,9 +150,9 @@
     BOOST_TEST(chooseReplica(views, wanted).value() == 1U);
 }
 
-// Guards against processing the same shared prefix at every holder. Twenty entries, ten holders of a popular adapter,
-// 117 different prefixes; each entry knows only what it sent itself. With a preferred holder for each prefix, a prefix
-// is processed at three or four holders instead of six or more.
+// Guards against processing the same shared prefix at every holder. Twenty entries send requests with 117 different
+// prefixes to ten holders of a popular adapter; each entry knows only what it sent itself. With a preferred holder for
+// each prefix, a prefix is processed at three or four holders instead of six or more.
 BOOST_AUTO_TEST_CASE(entries_send_a_shared_prefix_to_the_same_holders)
 {
     constexpr auto entries = 20;
--- a/tests/unit/ReplicaLeg.cpp
+++ b/tests/unit/ReplicaLeg.cpp
@@ -45,7 +45,8 @@
     BOOST_TEST(unanswered.calls == 0);
 }
 
-// The same if the connection outlives the abort by some turns, as it does when it is returned to the pool later.
+// An aborted request gets no report of a fault even if its connection outlives the abort by some turns of the event
+// loop, as it does when it is returned to the pool later.
 BOOST_AUTO_TEST_CASE(aborted_send_reports_no_fault_on_later_loop_turns)
 {
     auto unanswered = UnansweredConnection();
--- a/tests/unit/ReportThrottle.cpp
+++ b/tests/unit/ReportThrottle.cpp
@@ -11,7 +11,7 @@
 
 auto at(int milliseconds) -> Moment { return Moment(std::chrono::milliseconds(milliseconds)); }
 
-/// Number of pushes when `work` gives the load at each millisecond.
+/// Returns the number of pushes; `work` returns the load at a given millisecond.
 auto pushes(const std::function<std::size_t(int)>& work, int milliseconds) -> int
 {
     auto throttle = ReportThrottle();
--- a/tests/unit/SessionPlan.cpp
+++ b/tests/unit/SessionPlan.cpp
@@ -62,7 +62,7 @@
     }
 }
 
-// Guards against agents that receive no limits, whose replicas load no base model after a power loss.
+// Guards against agents that receive no limits: after a power loss, the replicas of such agents load no base model.
 BOOST_AUTO_TEST_CASE(nearly_every_agent_has_a_persistent_session)
 {
     const auto agents = agentsOf(625, 5);
--- a/tests/unit/SharedReading.cpp
+++ b/tests/unit/SharedReading.cpp
@@ -44,7 +44,8 @@
     }
 }
 
-// The reader answers, but gets no answer from the store itself: the older its reading is, the less time it covers.
+// The reader answers its followers, but gets no answers from the store. The older its last reading is, the less time an
+// answer to the followers covers.
 BOOST_AUTO_TEST_CASE(an_old_reading_of_the_reader_does_not_cover_followers)
 {
     const auto now = Moment(20s);
@@ -52,8 +53,8 @@
     BOOST_TEST((sharing.coveredUntil(now, bound * 3 / 4) <= now));
 }
 
-// In normal operation only the reader calls the store: the next answer arrives before the time that the last one covers
-// is over.
+// In normal operation only the reader calls the store: its next answer reaches the followers before the period that its
+// last answer covers has ended.
 BOOST_AUTO_TEST_CASE(a_reader_that_answers_covers_all_followers)
 {
     const auto oldest = sharing.sharedInterval() + 2 * latency;
--- a/tests/unit/SlotReplay.cpp
+++ b/tests/unit/SlotReplay.cpp
@@ -158,7 +158,7 @@
 
 } // namespace
 
-// At the baseline, a tenth more requests than the slots can serve make nearly every answer late, since each slot goes
+// With the baseline, a tenth more requests than the slots can serve make nearly every answer late, since each slot goes
 // to the request that has waited longest and is late by then. Loading first for requests that can still be on time, and
 // keeping one slot free for the next of them, makes most answers on time.
 BOOST_AUTO_TEST_CASE(more_adapters_than_slots_leave_most_answers_on_time)
--- a/tests/unit/UsersPlatform.cpp
+++ b/tests/unit/UsersPlatform.cpp
@@ -79,7 +79,7 @@
     BOOST_TEST(readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
     head.fields.set(names::attemptId, "abc");
     BOOST_TEST(!readAnswerMetadata(head, AttemptId("abc")).forOtherAttempt);
-    // A successful answer without an attempt id may be a duplicate answer; an error may come without one.
+    // A successful answer without an attempt id may be a duplicate answer; an error may lack the attempt id.
     BOOST_TEST(readAnswerMetadata({ .status = 200 }, AttemptId("abc")).forOtherAttempt);
     BOOST_TEST(!readAnswerMetadata({ .status = 421 }, AttemptId("abc")).forOtherAttempt);
     BOOST_TEST(readAnswerMetadata({ .status = 421 }, AttemptId("abc")).notRun);
