--- a/packages/decisions/AdapterSlots.h
+++ b/packages/decisions/AdapterSlots.h
@@ -30,7 +30,7 @@
 
 /// Selects which unpinned adapter is evicted.
 enum class EvictionRule {
-    /// Baseline for measurements.
+    /// Evicts the adapter that was used least recently; the baseline for measurements.
     LeastRecentlyUsed,
     /// Evicts the adapter with the lowest recent demand. Every reload costs the same, so demand alone determines the
     /// value of keeping an adapter.
@@ -40,19 +40,20 @@
 /// Parameters of the eviction.
 struct SlotPolicy {
     EvictionRule rule = EvictionRule::LeastDemand;
-    /// Long enough to distinguish an adapter requested every half minute from one requested once.
+    /// Half-life of the demand count, long enough to distinguish an adapter requested every half minute from one
+    /// requested once.
     Duration demandHalfLife = 120s;
-    /// A loaded adapter that was not used yet is not evicted for this long, since its requests may still be on their
-    /// way. Requests that have not arrived by then are not expected.
+    /// A loaded adapter that was not used yet is not evicted for this long, since the requests for it may still be on
+    /// their way. Requests that have not arrived by then are no longer expected.
     Duration unusedStay = 5s;
 };
 
-/// The adapter slots of one engine. The engine's slots have a single owner, which keeps this state.
+/// The adapter slots of one engine. The slots of an engine have a single owner, which keeps their state in an object of
+/// this class.
 ///
-/// Expected load: skewed demand over far more adapters than slots, and a member whose adapters are all requested at
-/// once.
-/// Prevents: popular adapters evicted by a series of rare ones, adapters evicted before their first use, and one member
-/// holding all slots.
+/// Designed for skewed demand over far more adapters than slots, and for a member whose adapters are all requested at
+/// once. The eviction rule prevents a series of rarely used adapters from evicting popular ones, adapters from being
+/// evicted before their first use, and one member from holding all slots.
 ///
 /// ```cpp
 /// auto answer = slots.request(model, now);
--- a/packages/decisions/AdmissionQueue.cpp
+++ b/packages/decisions/AdmissionQueue.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// Prompt processing granted in advance: a few engine steps longer than a grant takes to arrive, so that the engine is
-// never idle.
+// Most prompt processing that is granted in advance: a few engine steps longer than a grant takes to arrive, so that
+// the engine is never idle.
 constexpr auto maxOutstandingPrefill = Duration(250ms);
-// The remaining memory is for answers longer than announced and for prompt prefixes worth caching.
+// Share of the memory that is granted to requests; the rest is for answers longer than announced and for prompt
+// prefixes worth caching.
 constexpr auto memoryShare = 0.9;
 // Half-life of the arrival rate of more urgent requests.
 constexpr auto inflowHalfLife = Duration(2s);
 // Smallest share of the engine assumed for a waiting request, so that no amount of more urgent work makes the estimate
-// infinite and the request is not refused on a guess.
+// infinite and no request is refused because of a guess.
 constexpr auto minShare = 0.25;
 // Shortest retry delay of a refusal: the time that a grant takes to arrive.
 constexpr auto minRetry = Duration(50ms);
@@ -112,7 +113,7 @@
     }
     const auto wait = std::max(prefillTime(ahead, request.priority, now), loadTime);
     const auto begins = now + wait + prefillTime(request.unreadTokens);
-    // A request that is already late loses nothing by waiting here.
+    // A request that is already late loses nothing by waiting in this queue.
     if (request.elsewhere && now < request.firstEventDeadline && begins > request.firstEventDeadline)
         return AdmissionRefusal { request.attempt, wait, true };
     recordInflow(request, now);
@@ -147,7 +148,7 @@
             ++request;
             continue;
         }
-        // A request that does not fit blocks those behind it; otherwise short requests could overtake a long one
+        // A request that does not fit blocks the requests behind it; otherwise short requests could overtake a long one
         // forever.
         if (!fits(*request))
             break;
--- a/packages/decisions/AdmissionQueue.h
+++ b/packages/decisions/AdmissionQueue.h
@@ -27,13 +27,13 @@
     /// 0 is the most urgent.
     std::uint32_t priority = 5;
     Moment arrivedAt {};
-    /// When its adapter became usable; set by the queue.
+    /// When the request's adapter became usable; set by the queue.
     Moment readyAt {};
-    /// The answer's first event is on time until this moment.
+    /// Latest moment at which the first event of the answer is on time.
     Moment firstEventDeadline = Moment::max();
     /// When the caller stops waiting.
     Moment callerDeadline = Moment::max();
-    /// Whether its entry can send it to another replica if it would be late at this one.
+    /// Whether the entry that sent the request can send it to another replica if it would be late at this one.
     bool elsewhere = false;
 };
 
@@ -46,7 +46,7 @@
     double readRate = 40;
 };
 
-/// The request was not queued, or was removed from the queue; it was not sent to the replica.
+/// Describes a request that was not queued or was removed from the queue. The request was not sent to the replica.
 struct AdmissionRefusal {
     AttemptId attempt;
     /// Time until the work ahead of the request is done.
@@ -58,15 +58,16 @@
 /// An adapter that queued requests wait for.
 struct WantedAdapter {
     AdapterId adapter;
-    /// Whether none of these requests could still be on time.
+    /// Whether none of the requests that wait for the adapter can still be on time.
     bool late = false;
 };
 
 /// Whether the adapter may take a free or unused slot. `spareSlots` counts the slots that are not yet assigned.
 ///
-/// Expected load: more adapters in use than slots.
-/// Prevents: a request that is late in any case occupying, for seconds, the slot with which the next request could have
-/// been on time, until all requests are late. Reserving one slot is enough: late requests get any further free slot.
+/// If more adapters are in use than there are slots, a request that is late in any case could occupy, for seconds, the
+/// slot with which the next request would have been on time, until all requests are late. One slot is therefore
+/// reserved for adapters with requests that can still be on time. Reserving one is enough: an adapter that only late
+/// requests wait for gets any further free slot.
 [[nodiscard]] constexpr auto mayTakeSlot(const WantedAdapter& wanted, std::size_t spareSlots) noexcept -> bool
 {
     constexpr auto keptFree = std::size_t(1);
@@ -75,22 +76,22 @@
 
 /// Admission control of one replica, run by its agent: decides which requests the replica receives, and in which order.
 ///
-/// Expected load: bursts of mixed long and short prompts, and a full batch.
-/// Prevents: short prompts waiting behind a prompt of a thousand pages in the engine's own queue, where they can be
-/// neither reordered nor refused; prompts processed after their callers have left; running streams preempted because
-/// more requests were admitted than the memory holds; callers learning only at their deadline that they will not be
-/// served.
+/// Designed for bursts of mixed long and short prompts and for a full batch. Queueing requests outside the engine
+/// prevents short prompts from waiting behind a prompt of a thousand pages in the engine's own queue, where requests
+/// can be neither reordered nor refused. It also prevents prompts from being processed after their callers have left,
+/// running streams from being preempted because more requests were admitted than the memory holds, and callers from
+/// learning only at their deadline that they will not be served.
 ///
 /// At most `batch` requests are granted, using at most `memoryShare` of the memory, and with at most
-/// `maxOutstandingPrefill` of prompt processing outstanding. Less would leave the engine idle between grants; more
-/// would leave the order to the engine.
+/// `maxOutstandingPrefill` of prompt processing outstanding. Less outstanding processing would leave the engine idle
+/// between grants; more would leave the order of the requests to the engine.
 ///
-/// Requests that can still be on time come first, by priority and then by deadline of their first event; requests that
-/// will be late follow, in order of arrival. Earliest deadline first without this distinction serves every request
-/// slightly too late under overload.
+/// Requests that can still be on time come first, by priority and then by the deadline of their first event. Requests
+/// that will be late follow, by priority and then in order of arrival. Under overload, earliest deadline first without
+/// this distinction would serve every request slightly too late.
 ///
-/// A request that cannot start before its caller leaves is refused as soon as this is known. The estimate excludes the
-/// share of the engine that more urgent requests have recently used.
+/// A request that cannot start before its caller leaves is refused as soon as this is known. The estimate of its start
+/// excludes the share of the engine that more urgent requests have recently used.
 ///
 /// ```cpp
 /// if (auto refusal = queue.offer(request, ready, loadTime, now)) answer(*refusal);
@@ -105,11 +106,11 @@
     [[nodiscard]] auto limits() const noexcept -> const ReplicaLimits& { return limits_; }
 
     /// Queues the request, unless the work ahead of it takes longer than its caller waits. `loadTime` is the remaining
-    /// load time of its adapter.
+    /// load time of the request's adapter.
     ///
-    /// A request that would be late but can be sent to another replica is refused with `late`. Its entry chose by
-    /// reports that are a few hundred milliseconds old, and other entries may have chosen the same replica since; the
-    /// queue knows the current load.
+    /// A request that would be late but can be sent to another replica is refused with `late`. The entry that sent the
+    /// request chose this replica on the basis of reports that are a few hundred milliseconds old, and other entries
+    /// may have chosen the same replica since; the queue knows the current load.
     [[nodiscard]] auto offer(AdmissionRequest request, const Ready& ready, Duration loadTime, Moment now)
         -> std::optional<AdmissionRefusal>;
     /// Removes and returns the requests that may be sent now, at most `most`.
@@ -120,17 +121,18 @@
     /// Removes and refuses all requests, for example when the replica is gone.
     [[nodiscard]] auto drain(Duration retryAfter) -> std::vector<AdmissionRefusal>;
 
-    /// Records a running request whose prompt was granted and processed before this process started.
+    /// Records a running request that was granted, and whose prompt was processed, before this process started.
     auto adopt(const AdmissionRequest& request) -> void;
     /// Records the first event of the answer, which shows that the prompt has been processed.
     auto started(const AttemptId& attempt, Moment now) -> void;
     /// Records that the request ended, or that its caller left while it waited.
     auto release(const AttemptId& attempt) -> void;
 
-    /// Adapters that queued requests wait for and that are not ready, in the order in which to load them: first those
-    /// with a request that would still be on time after a load of `loadTime`, by the moment at which its prompt
-    /// processing must start. Loading for the longest wait first makes every request late if there are more adapters
-    /// than slots.
+    /// Adapters that queued requests wait for and that are not ready, in the order in which to load them: first the
+    /// adapters with a request that would still be on time after a load of duration `loadTime`, by the moment at which
+    /// the processing of that request's prompt must start; then the others, by the arrival of their oldest request.
+    /// Loading the adapter that was waited for longest first makes every request late if there are more adapters than
+    /// slots.
     [[nodiscard]] auto wanted(const Ready& ready, Duration loadTime, Moment now) const -> std::vector<WantedAdapter>;
     /// Whether a queued request uses the adapter.
     [[nodiscard]] auto waits(const AdapterId& adapter) const -> bool;
@@ -140,12 +142,12 @@
     [[nodiscard]] auto adapterOf(const AttemptId& attempt) const -> std::optional<AdapterId>;
     /// When the request was granted; no value if it is not granted or was granted by an earlier process.
     [[nodiscard]] auto grantedAt(const AttemptId& attempt) const -> std::optional<Moment>;
-    /// Prompt tokens to be processed before a request that arrives now. Excludes requests that wait for their adapters,
-    /// since they do not delay others. When they were counted, idle replicas appeared busy, adapters were copied to
-    /// further replicas, and the copies took the slots that those requests waited for.
+    /// Prompt tokens to be processed before a request that arrives now. Excludes the tokens of requests that wait for
+    /// their adapters, since such requests do not delay others. When these tokens were counted, idle replicas appeared
+    /// busy, adapters were copied to further replicas, and the copies took the slots that the waiting requests needed.
     [[nodiscard]] auto tokensAhead(const Ready& ready) const -> TokenCount;
-    /// Prompt tokens of requests that wait for their adapters; they go before a request whose adapter is requested
-    /// later.
+    /// Prompt tokens of requests that wait for their adapters; these requests go before a request whose adapter is
+    /// requested later.
     [[nodiscard]] auto tokensWaiting(const Ready& ready) const -> TokenCount;
     /// Measured number of prompt tokens that the replica processes per millisecond.
     [[nodiscard]] auto readRate() const noexcept -> double { return rate_.perMillisecond(); }
@@ -164,7 +166,7 @@
     };
     /// Time to process this many prompt tokens.
     [[nodiscard]] auto prefillTime(TokenCount tokens) const -> Duration;
-    /// The same, without the share of the engine that requests of higher priority use.
+    /// Time to process this many prompt tokens without the share of the engine that requests of higher priority use.
     [[nodiscard]] auto prefillTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration;
     [[nodiscard]] auto onTime(const AdmissionRequest& request, Moment now) const -> bool;
     /// When processing of the prompt must start for the first event to be on time.
--- a/packages/decisions/ChangeHistory.h
+++ b/packages/decisions/ChangeHistory.h
@@ -14,9 +14,9 @@
 /// Records the version at which each key of a list last changed, so that a peer that has an earlier version can be sent
 /// only the difference.
 ///
-/// Expected load: hundreds of rows, a few changes per second, dozens of peers.
-/// Prevents: sending the whole list on every change costs rows times peers, and a peer with little bandwidth is still
-/// receiving one list when the next one is sent.
+/// Designed for hundreds of rows, a few changes per second and dozens of peers. If the whole list were sent on every
+/// change, the cost would be rows times peers, and a peer with little bandwidth would still be receiving one list when
+/// the next one is sent.
 ///
 /// ```cpp
 /// history.changed(key, version);
--- a/packages/decisions/CircuitBreaker.cpp
+++ b/packages/decisions/CircuitBreaker.cpp
@@ -11,8 +11,8 @@
 // receives no requests look healthy again after a few seconds, so that it receives some.
 constexpr auto latestWeight = 0.2;
 constexpr auto halfLife = Duration(2s);
-// A replica that breaks the connection of one request in twenty does so three times in succession about once in eight
-// thousand.
+// Number of broken connections in succession that opens the breaker. A replica that breaks the connection of one
+// request in twenty breaks three in succession about once in eight thousand requests.
 constexpr auto breaksToOpen = 3U;
 constexpr auto shortestPause = Duration(400ms);
 constexpr auto maxDoublings = 3U;
--- a/packages/decisions/CircuitBreaker.h
+++ b/packages/decisions/CircuitBreaker.h
@@ -8,17 +8,17 @@
 
 /// Circuit breaker of one replica, based on the outcomes of the latest requests of all entries.
 ///
-/// Expected load: a replica that goes down and up repeatedly, or fails some of its requests, while its own report and
-/// health check show no problem.
-/// Prevents: each entry detecting the failure by itself, at the cost of two lost requests each time. The breaker is
-/// kept at the one process that all entries ask, so the first failures divert all of them.
+/// Designed for a replica that goes down and up repeatedly, or fails some of its requests, while its own report and
+/// health check show no problem. If each entry detected the failure by itself, every entry would lose two requests each
+/// time. The breaker is kept at the one process that all entries ask, so the first failures divert all entries to other
+/// replicas.
 ///
 /// `failureShare` serves for comparison with other replicas. If all replicas fail alike, for example because the
-/// requests are the cause, none is worse than another, and failures alone never open the breaker. Broken connections
-/// do: after three in succession the breaker opens, and after a pause it admits one probe request at a time. The pause
-/// grows while probes fail, so that a replica which goes down repeatedly returns slowly. Only requests sent after the
-/// pause close the breaker, since a stream that started earlier may still end well on a replica that accepts no new
-/// requests.
+/// requests are the cause, none is worse than another, and failures alone never open the breaker. Only broken
+/// connections open it: after three in succession the breaker opens, and after a pause it admits one probe request at a
+/// time. The pause grows while probes fail, so that a replica which goes down repeatedly is used again only slowly.
+/// Only requests sent after the pause close the breaker, since a stream that started earlier may still end well on a
+/// replica that accepts no new requests.
 ///
 /// ```cpp
 /// if (breaker.allows(now)) { send(request); breaker.requestSent(); }
--- a/packages/decisions/ConfigurationFreshness.h
+++ b/packages/decisions/ConfigurationFreshness.h
@@ -9,12 +9,14 @@
 
 /// Decides how long an entry may act on its configuration without a new confirmation.
 ///
-/// Expected load: keys revoked while some entries are cut off from the store, are paused, or receive the configuration
-/// from other entries.
-/// Prevents: running the request of a caller whose key was revoked, at an entry that has not received the change.
-/// An entry acts only while its configuration is known to have been the newest one less than `bound` ago. The relevant
-/// time is that of the confirmation, not of its arrival: a confirmation from another entry, or one read from a socket
-/// after the process was paused, includes its age at the sender and its transmission time.
+/// Designed for keys that are revoked while some entries are cut off from the store, are paused, or receive the
+/// configuration from other entries. The time limit prevents an entry that has not received the change from running the
+/// request of a caller whose key was revoked.
+///
+/// An entry acts only while its configuration is known to have been the newest one less than `bound` ago. The age
+/// counts from the moment at which the configuration was the newest one, not from the arrival of the confirmation: a
+/// confirmation from another entry, or one read from a socket after the process was paused, has aged at its sender and
+/// on its way.
 ///
 /// ```cpp
 /// freshness.confirmed(askedAt - age);
--- a/packages/decisions/ExpiryGrace.h
+++ b/packages/decisions/ExpiryGrace.h
@@ -9,16 +9,17 @@
 /// Decides whether a replica that the platform's list no longer names is gone, or whether its registration only expired
 /// while the platform's store was unavailable.
 ///
-/// Expected load: replicas replaced two at a time, some of which leave without notice, while gateway entries restart or
-/// regain access to the platform's store.
-/// Prevents: registrations of live replicas expire during an outage of the store. Treating these replicas as gone would
-/// cause every request to be refused for two seconds. A grace period for all replicas is no solution: an entry that had
-/// just started took its first reading for the end of an outage, and for up to three seconds sent requests to replicas
-/// that had left.
+/// Designed for replicas that are replaced two at a time, some of which leave without notice, while gateway entries
+/// restart or regain access to the platform's store. Registrations of live replicas expire during an outage of the
+/// store. Treating these replicas as gone would cause every request to be refused for two seconds, so replicas that are
+/// not listed count as present during a grace period after the store's return. A grace period for all replicas is no
+/// solution: an entry that had just started took its first reading for the end of an outage, and for up to three
+/// seconds sent requests to replicas that had left.
+///
 /// A replica that was listed since the store returned and is no longer listed has left. The grace period covers only
-/// replicas known from before the outage, and only if the store was unavailable to all entries; if it served others
-/// meanwhile, no registration expired. Without this condition, an entry that the store had refused alone kept replicas
-/// that had left for 3.0 s after it was served again.
+/// replicas known from before the outage, and only if the store was unavailable to all entries; if the store served
+/// other entries meanwhile, no registration expired. Without the latter condition, an entry that was the only one
+/// refused by the store continued, for 3.0 s after the store served it again, to use replicas that had left.
 ///
 /// ```cpp
 /// grace.lost(now);
@@ -34,10 +35,10 @@
         if (!lostAt_)
             lostAt_ = now;
     }
-    /// Records that another entry read the list at `readAt`. Only a reading after this entry lost the store proves that
-    /// the store serves others meanwhile. When an earlier one was accepted as proof, the last reading before an outage
-    /// that affected all entries disabled the grace period, and live replicas whose registrations had expired counted
-    /// as gone.
+    /// Records that another entry read the list at `readAt`. Only a reading after this entry lost access to the store
+    /// proves that the store still serves other entries. When an earlier reading was accepted as proof, the last
+    /// reading before an outage that affected all entries disabled the grace period, and live replicas whose
+    /// registrations had expired counted as gone.
     auto servedElsewhere(Moment readAt) noexcept -> void
     {
         if (!lostAt_ || readAt > *lostAt_)
@@ -61,7 +62,8 @@
     // Registrations that expired during an outage of the store are renewed within two seconds of its return, by the
     // users' figures.
     static constexpr auto gracePeriod = Duration(2000ms);
-    // Peers are polled once a second during an outage of the store, and a silent peer is detected within 1.5 s more.
+    // How long another entry's reading proves that the store serves other entries. Peers are polled once a second
+    // during an outage of the store, and a silent peer is detected within 1.5 s more.
     static constexpr auto evidenceLifetime = Duration(3s);
 
     Moment regainedAt_ {};
--- a/packages/decisions/KnownPrefixes.h
+++ b/packages/decisions/KnownPrefixes.h
@@ -17,10 +17,11 @@
 
 /// The prompt prefixes that a replica has processed, as far as the owner of this object knows.
 ///
-/// Expected load: prompts that start with a part which nearly all of them share, followed by one of many other parts.
-/// Prevents: if both parts had a common id, a replica that has processed only the first part would count as having
-/// processed nothing, and its expected start would be overestimated.
-/// Remembers at least the last `capacity` prefixes and at most about twice as many.
+/// Designed for prompts that start with a part which nearly all of them share, followed by one of many other parts.
+/// Each of the two prefixes has its own id. If both parts had a common id, a replica that has processed only the first
+/// part would count as having processed nothing, and its expected start would be overestimated.
+///
+/// The object remembers at least the last `capacity` prefixes and at most about twice as many.
 ///
 /// ```cpp
 /// auto unread = prefixes.back().tokens - known.tokens(prefixes);
--- a/packages/decisions/LoadConcurrency.h
+++ b/packages/decisions/LoadConcurrency.h
@@ -8,11 +8,12 @@
 
 /// Limits how many adapters one replica fetches at a time, depending on how long its latest fetches took.
 ///
-/// Expected load: all replicas empty at once after a power loss, and many rare adapters requested at the same time.
-/// Prevents: the weight store divides its bandwidth among all loads, so that with four loads from each replica all of
-/// them arrive late. With fewer loads at a time most requests get their adapters in time, and as many arrive in total.
-/// Adapters that only late requests wait for are fetched one at a time: since the store is shared, each such load
-/// delays a request that could have been on time.
+/// Designed for the time after a power loss, when all replicas are empty at once and many rare adapters are requested
+/// at the same time. The weight store divides its bandwidth among all loads, so with four loads from each replica all
+/// of them would arrive late. With fewer loads at a time most requests get their adapters in time, and as many adapters
+/// arrive in total. Adapters that only late requests wait for are fetched one at a time: since the store is shared,
+/// each such load delays a request that could have been on time.
+///
 /// No process counts the loads of all replicas. Each replica falls back to one load at a time after a slow load and
 /// allows one more after each fast one, similar to congestion control. Loads from host memory do not use the store and
 /// are not recorded.
--- a/packages/decisions/LoadQueue.cpp
+++ b/packages/decisions/LoadQueue.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Added to every age, so that new requests have a nonzero priority and many of them go before a single one.
+// Added to every wait, so that new requests have a nonzero priority and a load for many of them goes before a load for
+// a single one.
 constexpr auto baseAge = Duration(200ms);
 
 } // namespace
--- a/packages/decisions/LoadQueue.h
+++ b/packages/decisions/LoadQueue.h
@@ -18,17 +18,17 @@
     Moment oldestAt {};
 };
 
-/// Priority of a load: the weight of the waiting requests multiplied by the square of the longest wait. With a linear
-/// age, a single draft waited several times as long as the median request.
+/// Priority of a load: the weight of the waiting requests multiplied by the square of the longest wait. When the
+/// priority was linear in the wait, a single draft waited several times as long as the median request.
 [[nodiscard]] auto loadPriority(double weight, Moment oldestAt, Moment now) -> double;
 
 /// Orders the loads from one weight store. One entry holds the queue for all targets.
 ///
-/// Expected load: many targets with a missing adapter at once, while the store serves only one load at full speed.
-/// Prevents: loads that slow each other down, and many callers waiting behind a load for a single one.
-/// Reason for the limits: one load at a time, because a second one makes both slower. A grant expires, so that a lost
-/// target or answer blocks the other targets for no longer than four loads take. The queue is advisory: if two entries
-/// hold one at the same time, loads are slower but still correct.
+/// Designed for many targets with a missing adapter at once, while the store serves only one load at full speed. The
+/// queue prevents loads from slowing each other down, and many callers from waiting behind a load for a single one. It
+/// grants one load at a time, because a second one would make both slower. A grant expires, so that a lost target or
+/// answer blocks the other targets for no longer than four loads take. The queue is advisory: if two entries hold a
+/// queue at the same time, loads are slower but still correct.
 ///
 /// ```cpp
 /// queue.enqueue({ target, weight, oldest });
@@ -60,9 +60,9 @@
 
 /// Limits the loads of one target to its share of the weight store's rate while no load queue can be reached.
 ///
-/// Expected load: an outage of entries during a burst. Two loads may follow each other at once, since most outages are
-/// short and most targets are idle; further loads are limited to the share, so that all targets together stay within
-/// the store's rate.
+/// Designed for an outage of entries during a burst. Two loads may start without a delay between them, since most
+/// outages are short and most targets are idle; further loads are limited to the share, so that all targets together
+/// stay within the store's rate.
 class LoadRateLimiter {
 public:
     LoadRateLimiter(double loadsPerSecond, std::size_t targets) noexcept
--- a/packages/decisions/Placer.cpp
+++ b/packages/decisions/Placer.cpp
@@ -14,11 +14,13 @@
 // outdated order unnecessary loads.
 constexpr auto growthMargin = 1.5;
 // Upper bound of the loads counted as queued ahead of an additional holder's load. The load of a popular adapter
-// overtakes most of the queue, so counting all of it would confine the adapter to one full target while others idle.
+// overtakes most of the queue, so counting the whole queue would confine the adapter to one full target while others
+// idle.
 constexpr auto maxLoadsAhead = std::size_t(4);
-// A holder that was not needed for this long is no longer used. Longer than the gaps within a normal burst.
+// A holder that was not needed for this time is no longer used. The time is longer than the gaps within a normal burst.
 constexpr auto holderIdleLimit = Duration(30s);
-// Candidates for loading an adapter: enough to avoid a full target, few enough that all entries agree on them.
+// Number of candidates for loading an adapter: enough to avoid a full target, few enough that all entries agree on
+// them.
 constexpr auto maxLoadCandidates = std::size_t(4);
 // Upper bound of the demand for the evicted adapter that counts as cost; a target above it is in effect excluded.
 constexpr auto maxEvictionCost = 8.0;
@@ -57,7 +59,7 @@
 }
 
 /// Cost of loading the adapter at a target that does not hold it: the wait for a place, the reload of the evicted
-/// adapter, and the loads that already wait there.
+/// adapter, and the loads that already wait at the target.
 auto loadCandidateCost(const PlacementRequest& request, const TargetView& view) -> Duration
 {
     const auto reloadCost = scaled(loadTime, std::min(view.evictionCost, maxEvictionCost));
@@ -121,9 +123,9 @@
     const auto candidates = loadCandidates(request, fleet);
     if (candidates.count == 0)
         return anyHolder(request, fleet);
-    // A plain service holds no adapters, so any target will do, and picking from two random ones keeps entries from all
-    // choosing the same target. For a load, all entries must make the same choice, or each of them would load the
-    // adapter at a different target.
+    // A plain service holds no adapters, so any target will do, and picking the better of two random targets keeps
+    // entries from all choosing the same one. For a load, all entries must make the same choice, or each of them would
+    // load the adapter at a different target.
     if (request.model.empty())
         return pickBetterOfTwo(candidates, candidates.count).index;
     return std::min_element(candidates.at.begin(), candidates.at.begin() + candidates.count,
@@ -132,7 +134,7 @@
 }
 
 // Handles a surge for an adapter that every target holds: another holder would be worth its load, but no target is left
-// to become one. Without this fallback the request would be refused although a holder could take it.
+// to become a holder. Without this fallback the request would be refused although a holder could take it.
 auto Placer::anyHolder(const PlacementRequest& request, const Fleet& fleet) -> std::optional<Fleet::Index>
 {
     const auto candidates = holders(request, fleet);
@@ -155,9 +157,9 @@
     return chosen;
 }
 
-// Adds a holder when the wait at the holders in use exceeds the cost of a load, and removes one after `holderIdleLimit`
-// during which one fewer would have sufficed. The gap between the two thresholds is hysteresis: it prevents the adapter
-// from being loaded and evicted repeatedly.
+// Adds a holder when the wait at the holders in use exceeds the cost of a load, and removes a holder after
+// `holderIdleLimit` during which one holder fewer would have sufficed. The gap between the two thresholds is
+// hysteresis: it prevents the adapter from being loaded and evicted repeatedly.
 auto Placer::updateWantedHolders(const ModelName& model, const Candidates& candidates, Duration cost, Moment now)
     -> std::size_t
 {
@@ -196,7 +198,8 @@
     return second.cost < first.cost ? second : first;
 }
 
-/// Returns the holders in rendezvous order, so that all entries use the same ones and the others lose their demand.
+/// Returns the holders in rendezvous order, so that all entries use the same holders and the other holders lose their
+/// demand.
 auto Placer::holders(const PlacementRequest& request, const Fleet& fleet) const -> Candidates
 {
     auto found = Candidates();
--- a/packages/decisions/Placer.h
+++ b/packages/decisions/Placer.h
@@ -42,10 +42,10 @@
 /// Chooses the target with the earliest expected start, among the targets that hold the request's adapter and a few
 /// that could load it.
 ///
-/// Expected load: skewed demand over far more adapters than slots, with delayed reports from targets.
-/// Prevents: unnecessary loads, all entries choosing the same idle target, a popular adapter confined to one full
-/// target, and requests sent to a slow target.
-/// The constants in Placer.cpp state the reasons for their values; docs/DECISIONS.md has the measurements.
+/// Designed for skewed demand over far more adapters than slots, with delayed reports from targets. The choice prevents
+/// unnecessary loads, all entries choosing the same idle target, a popular adapter being confined to one full target,
+/// and requests being sent to a slow target. The constants in Placer.cpp state the reasons for their values;
+/// docs/DECISIONS.md has the measurements.
 ///
 /// ```cpp
 /// auto chosen = placer.choose(request, fleet, now);
@@ -73,12 +73,12 @@
         std::uint64_t score = 0;
         Duration cost {};
     };
-    /// Bounded and on the stack, so that a placement allocates nothing that grows with the fleet.
+    /// A list of bounded size on the stack, so that a placement allocates nothing that grows with the fleet.
     struct Candidates {
         std::array<Candidate, maxCandidates> at;
         std::size_t count = 0;
     };
-    /// Stored only for adapters that want more than one holder.
+    /// The number of holders that an adapter should have; stored only for adapters that need more than one.
     struct WantedHolders {
         std::size_t count = 1;
         /// When all `count` holders were last needed.
--- a/packages/decisions/PollSchedule.h
+++ b/packages/decisions/PollSchedule.h
@@ -9,8 +9,8 @@
 
 /// Computes the delay until the next poll of the platform.
 ///
-/// Expected load: 400 entries that poll two things each, all started by the same event, such as the return of a zone.
-/// Prevents: synchronized polls that arrive as one burst per period. Each delay is therefore drawn at random from the
+/// Designed for 400 entries that poll two resources each and are all started by the same event, such as the return of a
+/// zone. Synchronized polls would arrive as one burst per period. Each delay is therefore drawn at random from the
 /// period plus or minus a quarter. While polls fail, the delay doubles, so that retries do not prevent the platform
 /// from recovering. The limit of the backoff ensures that an accepted configuration is in force everywhere within
 /// seconds of the platform's return.
--- a/packages/decisions/PrefillRate.cpp
+++ b/packages/decisions/PrefillRate.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Number of tokens that the estimate covers, about eight long prompts, and number of tokens as which the expected rate
-// counts.
+// Number of tokens that the estimate covers, about eight long prompts, and number of tokens by which the expected rate
+// is weighted in the estimate.
 constexpr auto coveredTokens = 80000.0;
 constexpr auto priorTokens = 20000.0;
 // Bounds of the estimate relative to the expected rate: an engine that seems very slow still receives requests, and a
--- a/packages/decisions/PrefillRate.h
+++ b/packages/decisions/PrefillRate.h
@@ -10,11 +10,14 @@
 /// Estimates how many prompt tokens an engine processes per millisecond (its prefill rate), from the times at which
 /// requests were granted and started to answer.
 ///
-/// Expected load: replicas of different speed, and a replica that becomes slow while its health check passes.
-/// Prevents: placing and admitting requests by a rate that the engine does not reach, and streams on a slow engine that
-/// pause too long during prompts which a fast engine processes without a noticeable pause.
+/// Designed for replicas of different speed, and for a replica that becomes slow while its health check passes. The
+/// measured rate prevents requests from being placed and admitted by a rate that the engine does not reach. It also
+/// prevents streams on a slow engine from pausing too long during prompts which a fast engine processes without a
+/// noticeable pause.
+///
 /// Only the time in which prompts are processed counts, so that an idle engine does not look slow. The estimate covers
-/// the last few tens of thousands of tokens; with fewer, single prompts with a misjudged cached part would distort it.
+/// the last few tens of thousands of tokens; with fewer tokens, a single prompt whose cached part was misjudged would
+/// distort it.
 ///
 /// ```cpp
 /// rate.granted(now);
--- a/packages/decisions/PublishPolicy.cpp
+++ b/packages/decisions/PublishPolicy.cpp
@@ -6,16 +6,18 @@
 
 namespace {
 
-// Batching delay for each subscribed entry of the zone, by which the entries' views get older.
+// Batching delay for each subscribed entry of the zone. The entries' views are older by this delay.
 constexpr auto sameZoneDelay = Duration(10ms);
 constexpr auto maxSameZoneDelay = Duration(400ms);
-// Number of entries of a zone up to which the delay grows linearly. Below it, an entry reads a hundred updates per
-// second from the agents of its zone.
+// Number of entries of a zone up to which the delay grows linearly. Below this number, an entry reads a hundred updates
+// per second from the agents of its zone.
 constexpr auto linearDelayEntries = Duration::rep(6);
-// Longer between zones, since traffic between zones costs money and most requests stay in their zone.
+// Batching delay for each subscribed entry of another zone; longer than within a zone, since traffic between zones
+// costs money and most requests stay in their zone.
 constexpr auto otherZoneDelay = Duration(50ms);
 constexpr auto maxOtherZoneDelay = Duration(1400ms);
-// An entry that sent a request recently depends on the state; the answer to its request contains the state too.
+// Upper bound of the delay for an entry that recently sent a request and therefore depends on the state; the answer to
+// its request contains the state too.
 constexpr auto maxRecentRequesterDelay = Duration(400ms);
 constexpr auto sameZoneHeartbeat = Duration(500ms);
 constexpr auto otherZoneHeartbeat = Duration(2000ms);
--- a/packages/decisions/PublishPolicy.h
+++ b/packages/decisions/PublishPolicy.h
@@ -39,15 +39,15 @@
 
 /// Decides when the agent of a replica publishes its state to entries.
 ///
-/// Expected load: a hundred or more agents, each with a dozen changes per second, and as many entries, the smallest of
-/// which have a tenth of a core.
-/// Prevents: with an update for every change, each entry reads three hundred updates per second regardless of the
-/// requests that it serves. At 70 us each this takes a quarter of a tenth of a core, and requests wait behind the
-/// updates.
-/// Reason for the limits: the number of updates that an entry reads is proportional to the number of agents divided by
-/// the batching delay, so the delay grows with the fleet, in a zone with the square of its entries. An entry that
-/// recently sent a request to the replica is sent more updates, and each answer to it contains the state too, so that
-/// entries which send many requests to a replica have more recent data.
+/// Designed for a hundred or more agents, each with a dozen changes per second, and as many entries, the smallest of
+/// which have a tenth of a core. With an update for every change, each entry would read three hundred updates per
+/// second regardless of the requests that it serves. At 70 us for each update, reading them takes a quarter of a tenth
+/// of a core, and requests would wait behind the updates.
+///
+/// The number of updates that an entry reads is proportional to the number of agents divided by the batching delay. The
+/// delay therefore grows with the fleet, and within a zone with the square of the zone's entries. An entry that
+/// recently sent a request to the replica is sent more updates, and each answer to the entry contains the state too, so
+/// that entries which send many requests to a replica have more recent data.
 struct PublishPolicy {
     /// How long changes are batched before they are published to the `entries` entries of the audience.
     [[nodiscard]] static auto batchingDelay(Audience audience, std::size_t entries) noexcept -> Duration;
--- a/packages/decisions/Quarantine.h
+++ b/packages/decisions/Quarantine.h
@@ -11,9 +11,10 @@
 
 /// Counts engine crashes by the digest (of member, adapter and body) of the requests that were running.
 ///
-/// Expected load: a request that crashes every engine that runs it and is sent repeatedly.
-/// After its first crash a request is suspected and runs alone. If an engine crashes again while it runs, it is
-/// refused. Other requests that were running during a crash are cleared when they succeed.
+/// Designed for a request that crashes every engine that runs it and is sent repeatedly. After its first crash a
+/// request is suspected and runs alone. If an engine crashes again while the suspected request runs, the request is
+/// refused from then on and crashes no further engines. Other requests that were running during a crash are cleared
+/// when they succeed.
 ///
 /// ```cpp
 /// if (quarantine.crashed(digest, before) >= Quarantine::limit) ...
@@ -25,7 +26,7 @@
     static constexpr auto limit = std::uint32_t(2);
 
     /// Counts the crash of an attempt that was started when the count was `before`, and returns the new count. Crashes
-    /// of concurrent attempts count as one, because none of them ran as a known suspect.
+    /// of concurrent attempts count as one, because none of these attempts ran as a known suspect.
     auto crashed(const std::string& digest, std::uint32_t before) -> std::uint32_t;
     /// Applies the count of another process, if it is higher.
     auto learn(const std::string& digest, std::uint32_t crashes) -> void;
--- a/packages/decisions/QuotaBucket.cpp
+++ b/packages/decisions/QuotaBucket.cpp
@@ -14,7 +14,7 @@
 
 auto QuotaBucket::refill(Moment now) noexcept -> void
 {
-    // A new bucket starts empty, because the amounts that others granted before are unknown.
+    // A new bucket starts empty, because the amounts that other processes granted before are unknown.
     const auto credit
         = refilledAt_ == Moment() ? 0 : rate_.perSecond * secondsOf(std::max(now - refilledAt_, Duration(0)));
     refilledAt_ = std::max(refilledAt_, now);
--- a/packages/decisions/QuotaBucket.h
+++ b/packages/decisions/QuotaBucket.h
@@ -16,12 +16,13 @@
 
 /// Token bucket that limits what one member is granted.
 ///
-/// Expected load: a member that sends many times its limit through many entries, while other members send too.
-/// Prevents: replicas occupied by requests beyond the member's limit.
+/// Designed for a member that sends many times its limit through many entries, while other members send requests too.
+/// The limit prevents replicas from being occupied by requests beyond it.
+///
 /// A request is granted if its amount, capped at `burst + lenience`, does not take the level below `-lenience`. The
 /// full amount is deducted, so a request larger than the burst can be granted and delays the requests after it. The
-/// retry delay of a refused request accounts for the requests refused before it; otherwise all of them would be sent
-/// again at the same moment.
+/// retry delay of a refused request accounts for the requests refused before it; otherwise all refused requests would
+/// be sent again at the same moment.
 ///
 /// ```cpp
 /// const auto verdict = bucket.take(tokens, now);
--- a/packages/decisions/RecentAdapters.h
+++ b/packages/decisions/RecentAdapters.h
@@ -8,8 +8,8 @@
 
 namespace eelgrass::decisions {
 
-/// The adapters that a replica held recently and whose weights it still has in host memory. They load again in about
-/// 30 ms without using the weight store.
+/// The adapters that a replica held recently and whose weights it still has in host memory. Such an adapter loads again
+/// in about 30 ms without using the weight store.
 ///
 /// ```cpp
 /// recent.note(resident, RecentAdapters::perSlot * slots);
@@ -17,10 +17,10 @@
 /// ```
 class RecentAdapters {
 public:
-    /// Number of adapters per slot whose weights a replica keeps in host memory. When an adapter was loaded again after
-    /// fewer than 6 times as many other adapters as there are slots, nine in ten loads took 40 ms; after more, all took
-    /// 250 ms or longer, on engines with 7, 12 and 14 slots. Remembering half as many caused one unnecessary fetch in
-    /// fourteen at the highest load.
+    /// Number of adapters per slot whose weights a replica keeps in host memory. On engines with 7, 12 and 14 slots,
+    /// nine in ten loads took 40 ms if fewer than 6 times as many other adapters as there are slots had been loaded
+    /// since the adapter's previous load; after more, all loads took 250 ms or longer. Remembering half as many caused
+    /// one unnecessary fetch in fourteen at the highest load.
     static constexpr auto perSlot = std::size_t(6);
 
     /// Records the adapters that the replica holds now, and keeps the `most` adapters held last.
--- a/packages/decisions/RemoteClock.h
+++ b/packages/decisions/RemoteClock.h
@@ -8,9 +8,10 @@
 
 /// Computes the earliest local time at which a peer can have produced an answer.
 ///
-/// Expected load: long polls that the peer answers only on a change or after a timeout. Judged by the time of the
+/// Designed for long polls, which the peer answers only on a change or after a timeout. Judged by the time of the
 /// request alone, the answer "no change" would be as old as the whole wait. Each answer contains the peer's steady
-/// clock. The fastest answer gives the maximum by which that clock is behind the local one, which bounds the age of
+/// clock. Since an answer is produced after its request was sent, it gives a lower bound of the time by which the
+/// peer's clock is behind the local one. The fastest answer gives the highest lower bound, which limits the age of
 /// every other answer. The two clocks are assumed to drift apart by at most `maxDriftRate`.
 ///
 /// ```cpp
@@ -32,7 +33,7 @@
             offsetMeasuredAt_ = askedAt;
         }
     }
-    /// Earliest local time at which such an answer can have been produced.
+    /// Earliest local time at which an answer with `peerTime`, to a request sent at `askedAt`, can have been produced.
     [[nodiscard]] constexpr auto earliest(Moment askedAt, Duration peerTime) const noexcept -> Moment
     {
         return offset_ ? std::max(askedAt, Moment(peerTime + offsetWithDrift(askedAt))) : askedAt;
--- a/packages/decisions/ReplicaChoice.cpp
+++ b/packages/decisions/ReplicaChoice.cpp
@@ -12,23 +12,23 @@
 // engine's host memory. Excludes the wait for a slot.
 constexpr auto fetchTime = Duration(300ms);
 constexpr auto warmTime = Duration(60ms);
-// Time until one slot of a replica becomes free when all are in use: requests run for two seconds or more on seven
-// slots, some of which are shared.
+// Time until one slot of a replica becomes free when all slots are in use: requests run for two seconds or more on
+// seven slots, some of which are shared.
 constexpr auto slotReleaseTime = Duration(400ms);
-// Cost of a full batch, charged in proportion to its fill. Each running request slows all others slightly, so idle
-// replicas are preferred.
+// Cost of a full batch, charged in proportion to how full the batch is. Each running request slows all others slightly,
+// so idle replicas are preferred.
 constexpr auto fullBatchCost = Duration(60ms);
 // Pause of a running stream while a prompt is processed, on a replica of normal speed. An event holds seven or eight
 // tokens; one step generates one token of each stream, processes a thousand prompt tokens and attends to all earlier
-// ones. By the engines' own figures a step takes 27 ms, plus 0.75 ms for each thousand earlier tokens.
+// tokens. By the engines' own figures a step takes 27 ms, plus 0.75 ms for each thousand earlier tokens.
 constexpr auto prefillPause = Duration(200ms);
 constexpr auto pausePerThousand = Duration(5500us);
 // Cost of each running stream whose pause would exceed the limit.
 constexpr auto pausedStreamCost = Duration(60ms);
 // Time until one of many running requests ends.
 constexpr auto batchReleaseTime = Duration(500ms);
-// Cost of a certain failure: a failed request is lost or, at best, starts again elsewhere. If all replicas fail at the
-// same rate, the choice does not change.
+// Cost of a failure, charged in proportion to its probability: a failed request is lost or, at best, starts again at
+// another replica. If all replicas fail at the same rate, the choice does not change.
 constexpr auto failureCost = Duration(500ms);
 // Share of the age of a replica's values that is added to its expected start: one part that is equal for all entries,
 // and one that grows as the choosing entry prefers the replica less.
@@ -36,9 +36,9 @@
 constexpr auto entryShare = 0.2;
 // Probability that the holder which a shared prefix prefers most has already processed it for another entry.
 constexpr auto prefixCachedChance = 0.6;
-// How much later than the best replica the one that the adapter's name prefers most may start: if the adapter is
-// resident or in host memory, and if it must be fetched. A fetch at another replica delays all users of the weight
-// store, so the second margin is larger.
+// How much later than at the best replica a request may start at the replica that the adapter's name prefers most: the
+// first margin applies if the adapter is resident, being loaded or in host memory, the second if it must be fetched. A
+// fetch at another replica delays all users of the weight store, so the second margin is larger.
 constexpr auto preferenceMargin = Duration(20ms);
 constexpr auto preferenceMarginForFetch = Duration(300ms);
 
--- a/packages/decisions/ReplicaChoice.h
+++ b/packages/decisions/ReplicaChoice.h
@@ -28,15 +28,15 @@
     bool canLoad = true;
     std::size_t running = 0;
     std::size_t batch = 1;
-    /// Prompt tokens to be processed before this request, including those that this entry sent since the replica's last
-    /// report.
+    /// Prompt tokens to be processed before this request, including the tokens of requests that this entry sent since
+    /// the replica's last report.
     std::uint64_t tokensAhead = 0;
     /// Prompt tokens of requests that wait for other adapters; they delay only a request whose adapter must be loaded
     /// too.
     std::uint64_t tokensWaiting = 0;
     /// Slots that are free or hold an adapter that may be evicted.
     std::size_t spareSlots = 0;
-    /// Adapters that wait for a slot, including those that this entry requested since the replica's last report.
+    /// Adapters that wait for a slot, including the adapters that this entry requested since the replica's last report.
     std::size_t loadsWaiting = 0;
     /// Share of the latest requests that failed at the replica, from 0 to 1.
     double failures = 0;
@@ -48,7 +48,7 @@
     double slowness = 1;
 };
 
-/// The properties of a request that the choice of a replica depends on.
+/// The properties of a request, and of the fleet, that the choice of a replica depends on.
 struct PlacementQuery {
     std::string_view adapter;
     /// Name of the entry that chooses.
@@ -78,16 +78,16 @@
 
 /// Returns the index of the replica with the lowest expected start, or no value if no replica may take the request.
 ///
-/// Expected load: skewed demand over far more adapters than slots, prompts that share long prefixes, and reports that
-/// are a few hundred milliseconds old.
-/// Prevents: unnecessary loads, the same adapter loaded at several replicas because several entries requested it at the
-/// same moment, shared prefixes processed anew at each replica, and a popular adapter confined to one full replica.
+/// Designed for skewed demand over far more adapters than slots, prompts that share long prefixes, and reports that are
+/// a few hundred milliseconds old. The choice prevents unnecessary loads, the same adapter being loaded at several
+/// replicas because several entries requested it at the same moment, shared prefixes being processed anew at each
+/// replica, and a popular adapter being confined to one full replica.
 ///
 /// If all slots are in use, a load waits until the requests on one of them end, and behind the loads that already wait
-/// at the replica. When this wait was counted as one slot's time regardless of the queue, ten adapters waited at one
-/// replica while slots were free at another.
+/// at the replica. When this wait was counted as the time until one slot becomes free, regardless of the queue, ten
+/// adapters waited at one replica while slots were free at another.
 ///
-/// The weight store serves all replicas together only a few loads at a time. A load therefore waits for earlier ones
+/// The weight store serves all replicas together only a few loads at a time. A load therefore waits for earlier loads
 /// even if slots are free, above all after a power loss.
 ///
 /// Fetching an adapter that another replica holds, loads or has in host memory delays fetches of adapters that no
@@ -97,16 +97,16 @@
 /// processed, a replica with few running streams is preferred.
 ///
 /// The older the values of a replica are, the more requests other entries may have sent to it since. Its expected start
-/// therefore grows with their age, by an amount that differs between entries. Without this, all entries chose the same
-/// idle holder between two of its reports, and requests waited there while engines were processing prompts for only a
-/// third of the time.
+/// therefore grows with their age, by an amount that differs between entries. Without this difference, all entries
+/// chose the same idle holder between two of its reports, and requests waited there while engines were processing
+/// prompts for only a third of the time.
 ///
 /// Among several holders of an adapter, each shared prefix has a preferred one. An entry only knows which prefixes it
 /// sent itself; without the preference, many entries caused the same prefixes to be processed at every holder.
 ///
-/// An adapter that no replica holds goes to the replica that its name prefers, unless that one starts much later than
-/// others. Entries that do not know of each other then choose the same replica, and an adapter that is loaded again
-/// finds its weights still in that replica's host memory.
+/// An adapter that no replica holds goes to the replica that its name prefers, unless the request would start much
+/// later there than at another replica. Entries that do not know of each other then choose the same replica, and an
+/// adapter that is loaded again finds its weights still in that replica's host memory.
 [[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need)
     -> std::optional<std::size_t>;
 
--- a/packages/decisions/ReportThrottle.h
+++ b/packages/decisions/ReportThrottle.h
@@ -11,11 +11,10 @@
 
 /// Decides whether a change of a target's state is pushed to all of its sessions, and when.
 ///
-/// Expected load: about 220 sessions to a target that starts and ends a dozen requests per second.
-/// Prevents: a push for each change would cause thousands of messages per second on both sides, far above the budget of
-/// 16 KB per second.
-/// Entries learn the load from the answer to each start anyway. What they would not learn in time is that a target
-/// leaves, which adapters it holds, and that it became full or free. Only these changes are pushed, at a minimum
+/// Designed for about 220 sessions to a target that starts and ends a dozen requests per second. A push for each change
+/// would cause thousands of messages per second on both sides, far above the budget of 16 KB per second. Entries learn
+/// the load from the answer to each start of a request anyway. Without a push, they would not learn in time that a
+/// target leaves, which adapters it holds, and that it became full or free. Only these changes are pushed, at a minimum
 /// interval, so that a target that alternates between full and free costs at most one message per second.
 ///
 /// ```cpp
--- a/packages/decisions/RequestQueue.cpp
+++ b/packages/decisions/RequestQueue.cpp
@@ -19,7 +19,7 @@
 constexpr auto interactiveWindow = Duration(10s);
 // A draft that has waited this long is treated like an interactive call, so that it is not starved.
 constexpr auto agingTime = Duration(30s);
-// Weight of the newest measurement in the exponential average, which covers about the last eight.
+// Weight of the newest measurement in the exponential average, which covers about the last eight measurements.
 constexpr auto smoothingFactor = 0.125;
 constexpr auto minRetry = Duration(1s);
 
@@ -78,8 +78,8 @@
     return Admitted {};
 }
 
-// The requests that run before this one, at the rate at which places of the batch become free. If the adapter must be
-// loaded, at least the time of that load and of the loads ahead of it.
+// Time until the requests that run before this one have run, at the rate at which places of the batch become free. If
+// the adapter must be loaded, the result is at least the duration of that load and of the loads ahead of it.
 auto RequestQueue::expectedStart(
     const QueuedRequest& request, const IsResident& resident, std::size_t running, Moment now) const -> Duration
 {
--- a/packages/decisions/RequestQueue.h
+++ b/packages/decisions/RequestQueue.h
@@ -11,7 +11,8 @@
 
 namespace eelgrass::decisions {
 
-/// How a class of requests is treated. `weight` affects the order of loads; background requests leave room for others.
+/// How a class of requests is treated. `weight` affects the order of loads; background requests leave room for other
+/// requests.
 struct ClassTraits {
     double weight = 2;
     bool background = false;
@@ -36,13 +37,13 @@
 struct Refused {
     enum class Reason { Full, TooLate };
     Reason reason = Reason::Full;
-    /// Time until the queue will have drained far enough, at the measured rate.
+    /// Time until the queue will have drained far enough to admit the request, at the measured rate.
     Duration retryAfter {};
 };
 using Admission = std::variant<Admitted, Refused>;
 
 /// An adapter that queued requests wait for. `weight` is the sum of their class weights, `oldestAt` the arrival of the
-/// oldest one, `member` the member of the first one.
+/// oldest one, `member` the member of the request that was queued first.
 struct LoadCandidate {
     ModelName model;
     MemberId member;
@@ -59,10 +60,9 @@
 /// The bounded queue of one target: admits the requests that can be answered in time, and selects which one starts
 /// next.
 ///
-/// Expected load: bursts, full saturation, one member that sends far more requests than the others, long drafts mixed
-/// with short interactive calls.
-/// Prevents: callers refused only at their deadline, one member crowding out the others, interactive calls waiting
-/// behind minutes of drafts, and drafts that never start.
+/// Designed for bursts, full saturation, one member that sends far more requests than the others, and long drafts mixed
+/// with short interactive calls. The queue prevents callers from being refused only at their deadline, one member from
+/// crowding out the others, interactive calls from waiting behind minutes of drafts, and drafts from never starting.
 ///
 /// ```cpp
 /// auto admission = queue.offer(request, isResident, running, now);
@@ -118,11 +118,11 @@
     std::size_t batch_;
     std::vector<QueuedRequest> requests_;
     /// Engine time used by each member, in seconds, with a request of unknown duration counted as one second. The
-    /// member with the least goes first.
+    /// member with the least engine time goes first.
     std::map<MemberId, double> served_;
     double servedFloor_ = 0;
     std::map<RequestClass, Duration> runTimes_;
-    /// Smoothed over all classes.
+    /// Mean run time of the requests of all classes, smoothed exponentially.
     Duration runTime_ = 2s;
     Duration loadTime_ = 500ms;
     std::optional<Moment> lastInteractiveAt_;
--- a/packages/decisions/RetryBudget.h
+++ b/packages/decisions/RetryBudget.h
@@ -12,11 +12,10 @@
 
 /// Limits the retries of a member's requests to a share of its first attempts.
 ///
-/// Expected load: targets that fail or refuse requests while all of them are busy.
-/// Prevents: retries that multiply the load which caused them, and one member's failures using up the retries of
-/// others.
-/// Reason for the limits: a share of a tenth hides single failures from callers and adds at most a tenth to the load
-/// when all requests fail. A small initial credit lets a member with few requests retry at all.
+/// Designed for targets that fail or refuse requests while all targets are busy. The limit prevents retries from
+/// multiplying the load which caused them, and one member's failures from using up the retries of others. A share of a
+/// tenth hides single failures from callers and adds at most a tenth to the load when all requests fail. A small
+/// initial credit lets a member with few requests retry at all.
 ///
 /// ```cpp
 /// budget.recordFirstAttempt(member);
--- a/packages/decisions/SessionPlan.cpp
+++ b/packages/decisions/SessionPlan.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The same at every entry, so that all choose the same hubs.
+// Key by which hubs are selected; the same at every entry, so that all entries choose the same hubs.
 constexpr auto hubKey = std::uint64_t(0);
 
 } // namespace
--- a/packages/decisions/SharedReading.h
+++ b/packages/decisions/SharedReading.h
@@ -8,13 +8,12 @@
 
 /// Timing by which the entries of one availability zone share one entry's readings of the platform's store.
 ///
-/// Expected load: dozens of entries, each of which must know the operator's configuration and the list of replicas
-/// within a time bound, while every call to the store costs money.
-/// Prevents: entries that each read the store for themselves make more calls than the rest of the system together.
-/// Reason for the limits: the reader reads the store, and the followers ask it, every quarter of the bound, so that the
-/// followers' data is at most half the bound old. A follower stops relying on a reader that is silent, or whose own
-/// reading is old, after five eighths of the bound; the rest is for a reading of its own and for requests that are
-/// already on their way.
+/// Designed for dozens of entries, each of which must know the operator's configuration and the list of replicas within
+/// a time bound, while every call to the store costs money. Without sharing, these entries would make more calls than
+/// the rest of the system together. The reader reads the store, and the followers ask the reader, every quarter of the
+/// bound, so that the followers' data is at most half the bound old. A follower stops relying on a reader that is
+/// silent, or whose own reading is old, after five eighths of the bound; the rest of the bound is for a reading of the
+/// follower's own and for requests that are already on their way.
 ///
 /// ```cpp
 /// if (now < sharing.coveredUntil(answeredAt, age)) return; // no own reading needed
--- a/packages/decisions/SharedRetryBudget.h
+++ b/packages/decisions/SharedRetryBudget.h
@@ -20,10 +20,10 @@
 
 /// One entry's share of the retry budget of one service, over a sliding window.
 ///
-/// Expected load: replicas that refuse requests, crash or close connections while many entries retry at once.
-/// Prevents: entries that do not know of each other exceeding the common budget several times over.
-/// Each entry may use the ratio of its own first attempts and an equal part of the slack. A tenth is left unused,
-/// because the windows of different entries do not end at the same moment.
+/// Designed for replicas that refuse requests, crash or close connections while many entries retry at once. Dividing
+/// the budget prevents entries that do not know of each other from exceeding the common budget several times over. Each
+/// entry may use the ratio of its own first attempts and an equal part of the slack. A tenth of this share is left
+/// unused, because the windows of different entries do not end at the same moment.
 ///
 /// ```cpp
 /// budget.sent(now);
