--- a/packages/decisions/AdmissionQueue.cpp
+++ b/packages/decisions/AdmissionQueue.cpp
@@ -57,13 +57,13 @@
 
 auto AdmissionQueue::prefillTime(TokenCount tokens, std::uint32_t priority, Moment now) const -> Duration
 {
-    auto urgent = 0.0;
+    auto urgentRate = 0.0;
     for (const auto& [other, inflow] : inflow_) {
         const auto age = static_cast<double>((now - inflow.at).count()) / static_cast<double>(inflowHalfLife.count());
         if (other < priority)
-            urgent += inflow.rate * std::exp2(-age);
+            urgentRate += inflow.rate * std::exp2(-age);
     }
-    const auto share = std::max(minShare, 1 - urgent / rate_.perMillisecond());
+    const auto share = std::max(minShare, 1 - urgentRate / rate_.perMillisecond());
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / (rate_.perMillisecond() * share)));
 }
@@ -112,12 +112,12 @@
             ahead += other.unreadTokens;
     }
     const auto wait = std::max(prefillTime(ahead, request.priority, now), loadTime);
-    const auto begins = now + wait + prefillTime(request.unreadTokens);
+    const auto firstEventAt = now + wait + prefillTime(request.unreadTokens);
     // A request that is already late loses nothing by waiting in this queue.
-    if (request.elsewhere && now < request.firstEventDeadline && begins > request.firstEventDeadline)
+    if (request.elsewhere && now < request.firstEventDeadline && firstEventAt > request.firstEventDeadline)
         return AdmissionRefusal { request.attempt, wait, true };
     recordInflow(request, now);
-    if (begins >= request.callerDeadline)
+    if (firstEventAt >= request.callerDeadline)
         return AdmissionRefusal { request.attempt, std::max(wait, minRetry) };
     waiting_.push_back(std::move(request));
     return std::nullopt;
@@ -129,13 +129,13 @@
         return true;
     if (running_.size() >= limits_.batch)
         return false;
-    const auto most = static_cast<TokenCount>(memoryShare * static_cast<double>(limits_.memory));
-    if (memoryUsed_ + memoryOf(request) > most)
+    const auto memoryLimit = static_cast<TokenCount>(memoryShare * static_cast<double>(limits_.memory));
+    if (memoryUsed_ + memoryOf(request) > memoryLimit)
         return false;
     return unstartedTokens_ == 0 || prefillTime(unstartedTokens_ + request.unreadTokens) <= maxOutstandingPrefill;
 }
 
-auto AdmissionQueue::grant(const Ready& ready, Moment now, std::size_t most) -> std::vector<AdmissionRequest>
+auto AdmissionQueue::grant(const Ready& ready, Moment now, std::size_t limit) -> std::vector<AdmissionRequest>
 {
     auto granted = std::vector<AdmissionRequest>();
     sortWaiting(now);
@@ -143,7 +143,7 @@
         if (request.readyAt == Moment() && ready(request.adapter))
             request.readyAt = now;
     }
-    for (auto request = waiting_.begin(); request != waiting_.end() && granted.size() < most;) {
+    for (auto request = waiting_.begin(); request != waiting_.end() && granted.size() < limit;) {
         if (!ready(request->adapter)) {
             ++request;
             continue;
@@ -235,21 +235,21 @@
 
 auto AdmissionQueue::wanted(const Ready& ready, Duration loadTime, Moment now) const -> std::vector<WantedAdapter>
 {
-    using Turn = std::pair<bool, Moment>;
-    auto turns = std::map<AdapterId, Turn>();
+    using LoadRank = std::pair<bool, Moment>;
+    auto ranks = std::map<AdapterId, LoadRank>();
     for (const auto& request : waiting_) {
         if (request.adapter.empty() || ready(request.adapter))
             continue;
         const auto late = !onTime(request, now + loadTime);
-        const auto turn = Turn(late, late ? request.arrivedAt : latestStart(request));
-        const auto [found, added] = turns.try_emplace(request.adapter, turn);
-        found->second = std::min(found->second, turn);
+        const auto rank = LoadRank(late, late ? request.arrivedAt : latestStart(request));
+        const auto [found, added] = ranks.try_emplace(request.adapter, rank);
+        found->second = std::min(found->second, rank);
     }
     auto adapters = std::vector<WantedAdapter>();
-    for (const auto& [adapter, turn] : turns)
-        adapters.push_back({ adapter, turn.first });
+    for (const auto& [adapter, rank] : ranks)
+        adapters.push_back({ adapter, rank.first });
     std::stable_sort(adapters.begin(), adapters.end(), [&](const WantedAdapter& left, const WantedAdapter& right) {
-        return turns[left.adapter] < turns[right.adapter];
+        return ranks[left.adapter] < ranks[right.adapter];
     });
     return adapters;
 }
--- a/packages/decisions/AdmissionQueue.h
+++ b/packages/decisions/AdmissionQueue.h
@@ -113,8 +113,8 @@
     /// may have chosen the same replica since; the queue knows the current load.
     [[nodiscard]] auto offer(AdmissionRequest request, const Ready& ready, Duration loadTime, Moment now)
         -> std::optional<AdmissionRefusal>;
-    /// Removes and returns the requests that may be sent now, at most `most`.
-    [[nodiscard]] auto grant(const Ready& ready, Moment now, std::size_t most = SIZE_MAX)
+    /// Removes and returns the requests that may be sent now, at most `limit`.
+    [[nodiscard]] auto grant(const Ready& ready, Moment now, std::size_t limit = SIZE_MAX)
         -> std::vector<AdmissionRequest>;
     /// Removes and refuses the requests that cannot start before their callers leave.
     [[nodiscard]] auto expire(const Ready& ready, Moment now) -> std::vector<AdmissionRefusal>;
--- a/packages/decisions/ChangeHistory.h
+++ b/packages/decisions/ChangeHistory.h
@@ -36,7 +36,7 @@
     auto removed(const Key& key, std::uint64_t version) -> void
     {
         note(key, version, true);
-        if (++removals_ > mostRemovals)
+        if (++removals_ > maxRemovals)
             evictOldRemovals();
     }
     /// Whether the history holds all changes after `version`.
@@ -61,7 +61,7 @@
         bool removed = false;
     };
     // Bounds the memory for removed keys; a peer whose version is no longer covered is sent the whole list.
-    static constexpr auto mostRemovals = std::size_t(1000);
+    static constexpr auto maxRemovals = std::size_t(1000);
 
     auto note(const Key& key, std::uint64_t version, bool removed) -> void
     {
@@ -84,7 +84,7 @@
     /// Drops the oldest half of the removals and raises the oldest covered version accordingly.
     auto evictOldRemovals() -> void
     {
-        for (auto change = byVersion_.begin(); change != byVersion_.end() && removals_ > mostRemovals / 2;) {
+        for (auto change = byVersion_.begin(); change != byVersion_.end() && removals_ > maxRemovals / 2;) {
             oldestCovered_ = std::max(oldestCovered_, change->first);
             for (auto key = change->second.begin(); key != change->second.end();) {
                 if (!keys_.at(*key).removed) {
--- a/packages/decisions/Placer.cpp
+++ b/packages/decisions/Placer.cpp
@@ -54,8 +54,8 @@
 
 auto loadCost(const Fleet& fleet) -> Duration
 {
-    const auto turns = std::min(fleet.loadsWaiting(), maxLoadsAhead) + 1;
-    return scaled(loadTime * static_cast<Duration::rep>(turns), growthMargin);
+    const auto loadCount = std::min(fleet.loadsWaiting(), maxLoadsAhead) + 1;
+    return scaled(loadTime * static_cast<Duration::rep>(loadCount), growthMargin);
 }
 
 /// Cost of loading the adapter at a target that does not hold it: the wait for a place, the reload of the evicted
@@ -85,7 +85,7 @@
     if (request.model.empty() || holds(view, request.model))
         return Reason::Holds;
     const auto loading = std::any_of(view.pendingLoads.begin(), view.pendingLoads.end(),
-        [&](const auto& one) { return one.model == request.model; });
+        [&](const auto& load) { return load.model == request.model; });
     return loading ? Reason::LoadComing : Reason::MustLoad;
 }
 
@@ -163,7 +163,7 @@
 auto Placer::updateWantedHolders(const ModelName& model, const Candidates& candidates, Duration cost, Moment now)
     -> std::size_t
 {
-    const auto least = [&](std::size_t among) {
+    const auto lowestCost = [&](std::size_t among) {
         const auto used = candidates.at.begin() + std::min(among, candidates.count);
         return std::min_element(candidates.at.begin(), used, [](const auto& a, const auto& b) {
             return a.cost < b.cost;
@@ -171,7 +171,7 @@
     };
     const auto found = wantedHolders_.find(model);
     const auto known = found == wantedHolders_.end() ? WantedHolders() : found->second;
-    if (least(known.count) > cost) {
+    if (lowestCost(known.count) > cost) {
         // At most one more than the existing holders, because the load just requested is not yet complete.
         const auto increased = std::min(known.count, candidates.count) + 1;
         if (increased <= maxCandidates)
@@ -180,7 +180,7 @@
     }
     if (known.count == 1)
         return 1;
-    if (least(known.count - 1) > cost / 2)
+    if (lowestCost(known.count - 1) > cost / 2)
         found->second.neededAt = now;
     else if (now - known.neededAt > holderIdleLimit) {
         found->second = { known.count - 1, now };
@@ -230,11 +230,11 @@
     const auto key = nameHash(request.model.view());
     const auto& group = fleet.serving(request.serves);
     const auto holding = fleet.holders(request.model);
-    for (auto member = std::size_t(0); member < group.targets.size(); ++member) {
-        const auto score = rendezvousScore(key, group.hashes[member]);
+    for (auto position = std::size_t(0); position < group.targets.size(); ++position) {
+        const auto score = rendezvousScore(key, group.hashes[position]);
         if (found.count == maxLoadCandidates && score < found.at[found.count - 1].score)
             continue;
-        const auto index = group.targets[member];
+        const auto index = group.targets[position];
         const auto& view = fleet.views()[index];
         if (!eligible(request, view) || std::find(holding.begin(), holding.end(), index) != holding.end())
             continue;
@@ -256,12 +256,12 @@
     const auto cost = loadCost(fleet);
     for (const auto index : fleet.serving(request.serves).targets) {
         const auto& view = fleet.views()[index];
-        auto one = Explanation { view.id, reasonFor(request, view), {}, cost, view.slowness };
-        if (one.reason == Explanation::Reason::MustLoad)
-            one.expectedStart = loadCandidateCost(request, view);
-        else if (one.reason < Explanation::Reason::MustLoad)
-            one.expectedStart = holderCost(request, view);
-        explanations.push_back(std::move(one));
+        auto explanation = Explanation { view.id, reasonFor(request, view), {}, cost, view.slowness };
+        if (explanation.reason == Explanation::Reason::MustLoad)
+            explanation.expectedStart = loadCandidateCost(request, view);
+        else if (explanation.reason < Explanation::Reason::MustLoad)
+            explanation.expectedStart = holderCost(request, view);
+        explanations.push_back(std::move(explanation));
     }
     std::sort(explanations.begin(), explanations.end(), [](const Explanation& a, const Explanation& b) {
         return std::pair(a.reason, a.expectedStart) < std::pair(b.reason, b.expectedStart);
--- a/packages/decisions/PublishPolicy.cpp
+++ b/packages/decisions/PublishPolicy.cpp
@@ -41,8 +41,8 @@
     const auto count = static_cast<Duration::rep>(entries);
     switch (audience) {
     case Audience::SameZone: {
-        const auto many = std::max(count, linearDelayEntries);
-        return std::min(Duration(sameZoneDelay * count * many / linearDelayEntries), maxSameZoneDelay);
+        const auto multiplier = std::max(count, linearDelayEntries);
+        return std::min(Duration(sameZoneDelay * count * multiplier / linearDelayEntries), maxSameZoneDelay);
     }
     case Audience::RecentRequester:
         return std::min(Duration(otherZoneDelay * count), maxRecentRequesterDelay);
--- a/packages/decisions/QuotaBucket.cpp
+++ b/packages/decisions/QuotaBucket.cpp
@@ -32,8 +32,8 @@
 auto QuotaBucket::take(double amount, Moment now) noexcept -> Verdict
 {
     refill(now);
-    const auto least = std::min(amount, rate_.burst + rate_.lenience);
-    const auto missing = least - (level_ + rate_.lenience);
+    const auto required = std::min(amount, rate_.burst + rate_.lenience);
+    const auto missing = required - (level_ + rate_.lenience);
     if (missing <= 0) {
         level_ -= amount;
         return { .granted = true };
--- a/packages/decisions/RecentAdapters.h
+++ b/packages/decisions/RecentAdapters.h
@@ -23,13 +23,13 @@
     /// one unnecessary fetch in fourteen at the highest load.
     static constexpr auto perSlot = std::size_t(6);
 
-    /// Records the adapters that the replica holds now, and keeps the `most` adapters held last.
-    template <typename Versions> auto note(const std::map<AdapterId, Versions>& held, std::size_t most) -> void
+    /// Records the adapters that the replica holds now, and keeps the `limit` adapters held last.
+    template <typename Versions> auto note(const std::map<AdapterId, Versions>& held, std::size_t limit) -> void
     {
         ++generation_;
         for (const auto& [adapter, version] : held)
             lastHeld_[adapter] = generation_;
-        while (lastHeld_.size() > most)
+        while (lastHeld_.size() > limit)
             lastHeld_.erase(std::min_element(lastHeld_.begin(), lastHeld_.end(),
                 [](const auto& left, const auto& right) { return left.second < right.second; }));
     }
--- a/packages/decisions/ReplicaChoice.cpp
+++ b/packages/decisions/ReplicaChoice.cpp
@@ -42,12 +42,12 @@
 constexpr auto preferenceMargin = Duration(20ms);
 constexpr auto preferenceMarginForFetch = Duration(300ms);
 
-auto share(double fraction, Duration whole) -> Duration
+auto scaled(double factor, Duration duration) -> Duration
 {
-    return std::chrono::duration_cast<Duration>(fraction * std::chrono::duration<double, std::micro>(whole));
+    return std::chrono::duration_cast<Duration>(factor * std::chrono::duration<double, std::micro>(duration));
 }
 
-auto readTime(std::uint64_t tokens, double rate) -> Duration
+auto prefillTime(std::uint64_t tokens, double rate) -> Duration
 {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, std::milli>(static_cast<double>(tokens) / rate));
@@ -64,20 +64,20 @@
 auto pauseDuringPrefill(std::uint64_t tokens) -> Duration
 {
     constexpr auto thousand = 1000.0;
-    return prefillPause + share(static_cast<double>(tokens) / thousand, pausePerThousand);
+    return prefillPause + scaled(static_cast<double>(tokens) / thousand, pausePerThousand);
 }
 
 /// Probability that the replica has not processed the shared prefix, given that this entry did not send it there.
-auto unreadChance(const ReplicaView& replica, const PlacementQuery& need) -> double
+auto unreadChance(const ReplicaView& replica, const PlacementQuery& query) -> double
 {
-    return replica.holds ? 1 - prefixCachedChance * (1 - dispreference(need.sharedId, replica.id)) : 1;
+    return replica.holds ? 1 - prefixCachedChance * (1 - dispreference(query.sharedId, replica.id)) : 1;
 }
 
 /// Expected time until an adapter that is not resident has been loaded.
-auto loadWait(const ReplicaView& replica, const PlacementQuery& need) -> Duration
+auto loadWait(const ReplicaView& replica, const PlacementQuery& query) -> Duration
 {
     auto wait = replica.warm ? warmTime : fetchTime;
-    wait += need.waitingLoadCost * replica.loadsWaiting;
+    wait += query.waitingLoadCost * replica.loadsWaiting;
     if (replica.loadsWaiting >= replica.spareSlots)
         wait += slotReleaseTime * (replica.loadsWaiting - replica.spareSlots + (replica.loading ? 0 : 1));
     // The load was ordered some time ago, so on average half of the wait has passed.
@@ -86,29 +86,29 @@
 
 } // namespace
 
-auto expectedStart(const ReplicaView& replica, const PlacementQuery& need) -> Duration
+auto expectedStart(const ReplicaView& replica, const PlacementQuery& query) -> Duration
 {
-    const auto load = replica.holds ? Duration(0) : loadWait(replica, need);
-    const auto ahead = readTime(replica.tokensAhead + (replica.holds ? 0 : replica.tokensWaiting), need.readRate);
+    const auto load = replica.holds ? Duration(0) : loadWait(replica, query);
+    const auto ahead = prefillTime(replica.tokensAhead + (replica.holds ? 0 : replica.tokensWaiting), query.readRate);
     const auto fill
         = static_cast<double>(replica.running) / static_cast<double>(std::max<std::size_t>(replica.batch, 1));
-    auto start = std::max(load, ahead) + share(fill, fullBatchCost);
+    auto start = std::max(load, ahead) + scaled(fill, fullBatchCost);
     // A full batch starts no request until a running one ends.
     if (fill >= 1)
         start += batchReleaseTime;
-    const auto unknown = need.sharedTokens - std::min(need.sharedTokens, replica.cachedTokens);
-    if (unknown > 0)
-        start += share(unreadChance(replica, need), readTime(unknown, need.readRate));
-    if (share(replica.slowness, pauseDuringPrefill(need.unreadTokens + need.sharedTokens)) > need.pauseLimit)
+    const auto unknownTokens = query.sharedTokens - std::min(query.sharedTokens, replica.cachedTokens);
+    if (unknownTokens > 0)
+        start += scaled(unreadChance(replica, query), prefillTime(unknownTokens, query.readRate));
+    if (scaled(replica.slowness, pauseDuringPrefill(query.unreadTokens + query.sharedTokens)) > query.pauseLimit)
         start += pausedStreamCost * replica.running;
-    start += share(replica.failures, failureCost);
-    start += share(ageShare + entryShare * dispreference(nameHash(need.entry), replica.id), replica.age);
-    if (replica.zone != need.zone)
-        start += need.zonePenalty;
-    return share(replica.slowness, start + Duration(1ms));
+    start += scaled(replica.failures, failureCost);
+    start += scaled(ageShare + entryShare * dispreference(nameHash(query.entry), replica.id), replica.age);
+    if (replica.zone != query.zone)
+        start += query.zonePenalty;
+    return scaled(replica.slowness, start + Duration(1ms));
 }
 
-auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need) -> std::optional<std::size_t>
+auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& query) -> std::optional<std::size_t>
 {
     const auto availableWithoutFetch = std::any_of(replicas.begin(), replicas.end(), [](const ReplicaView& replica) {
         return replica.usable && (replica.holds || replica.loading || replica.warm);
@@ -119,10 +119,11 @@
         const auto& replica = replicas[index];
         if (!replica.usable || (!replica.holds && !replica.loading && !replica.canLoad))
             continue;
-        const auto fetch = !replica.holds && !replica.loading && !replica.warm;
-        const auto cost = expectedStart(replica, need) + (fetch && availableWithoutFetch ? need.copyCost : Duration(0))
-            + share(
-                dispreference(nameHash(need.adapter), replica.id), fetch ? preferenceMarginForFetch : preferenceMargin);
+        const auto mustFetch = !replica.holds && !replica.loading && !replica.warm;
+        const auto cost = expectedStart(replica, query)
+            + (mustFetch && availableWithoutFetch ? query.copyCost : Duration(0))
+            + scaled(dispreference(nameHash(query.adapter), replica.id),
+                mustFetch ? preferenceMarginForFetch : preferenceMargin);
         if (cost < bestCost) {
             best = index;
             bestCost = cost;
--- a/packages/decisions/ReplicaChoice.h
+++ b/packages/decisions/ReplicaChoice.h
@@ -31,8 +31,8 @@
     /// Prompt tokens to be processed before this request, including the tokens of requests that this entry sent since
     /// the replica's last report.
     std::uint64_t tokensAhead = 0;
-    /// Prompt tokens of requests that wait for other adapters; they delay only a request whose adapter must be loaded
-    /// too.
+    /// Prompt tokens of requests that wait for other adapters; these requests delay only a request whose adapter must
+    /// be loaded too.
     std::uint64_t tokensWaiting = 0;
     /// Slots that are free or hold an adapter that may be evicted.
     std::size_t spareSlots = 0;
@@ -74,7 +74,7 @@
 };
 
 /// Expected wait until the request's first event at the replica, including penalties expressed as durations.
-[[nodiscard]] auto expectedStart(const ReplicaView& replica, const PlacementQuery& need) -> Duration;
+[[nodiscard]] auto expectedStart(const ReplicaView& replica, const PlacementQuery& query) -> Duration;
 
 /// Returns the index of the replica with the lowest expected start, or no value if no replica may take the request.
 ///
@@ -83,8 +83,8 @@
 /// replicas because several entries requested it at the same moment, shared prefixes being processed anew at each
 /// replica, and a popular adapter being confined to one full replica.
 ///
-/// If all slots are in use, a load waits until the requests on one of them end, and behind the loads that already wait
-/// at the replica. When this wait was counted as the time until one slot becomes free, regardless of the queue, ten
+/// If all slots are in use, a load waits until the requests on one slot end, and behind the loads that already wait at
+/// the replica. When this wait was counted as the time until one slot becomes free, regardless of the queue, ten
 /// adapters waited at one replica while slots were free at another.
 ///
 /// The weight store serves all replicas together only a few loads at a time. A load therefore waits for earlier loads
@@ -107,7 +107,7 @@
 /// An adapter that no replica holds goes to the replica that its name prefers, unless the request would start much
 /// later there than at another replica. Entries that do not know of each other then choose the same replica, and an
 /// adapter that is loaded again finds its weights still in that replica's host memory.
-[[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& need)
+[[nodiscard]] auto chooseReplica(std::span<const ReplicaView> replicas, const PlacementQuery& query)
     -> std::optional<std::size_t>;
 
 } // namespace eelgrass::decisions
--- a/packages/decisions/RequestQueue.cpp
+++ b/packages/decisions/RequestQueue.cpp
@@ -62,10 +62,10 @@
     if (static_cast<double>(requests_.size()) >= share * static_cast<double>(limit_))
         return Refused { Refused::Reason::Full, retryAfter(start) };
     if (request.deadline != Moment::max()) {
-        // Refused now, while the caller can still use another target, instead of at its deadline.
-        const auto left = request.deadline - now - expectedRunTime(request);
-        if (start > left)
-            return Refused { Refused::Reason::TooLate, retryAfter(start - std::max(left, Duration::zero())) };
+        // The request is refused now, while its caller can still use another target, instead of at the deadline.
+        const auto timeLeft = request.deadline - now - expectedRunTime(request);
+        if (start > timeLeft)
+            return Refused { Refused::Reason::TooLate, retryAfter(start - std::max(timeLeft, Duration::zero())) };
     }
     if (!traits.background)
         lastInteractiveAt_ = now;
@@ -83,7 +83,7 @@
 auto RequestQueue::expectedStart(
     const QueuedRequest& request, const IsResident& resident, std::size_t running, Moment now) const -> Duration
 {
-    const auto here = request.model.empty() || resident(request.model);
+    const auto adapterResident = request.model.empty() || resident(request.model);
     auto ahead = Duration::zero();
     auto count = running;
     auto loads = std::set<ModelName>();
@@ -100,10 +100,10 @@
     }
     const auto places = static_cast<Duration::rep>(std::max(batch_, std::size_t(1)));
     const auto wait = count < batch_ ? Duration::zero() : (ahead + expectedRunTime(request)) / places;
-    if (here)
+    if (adapterResident)
         return wait;
-    const auto turns = static_cast<Duration::rep>(loads.size() + 1);
-    return std::max(wait, loadTime_ * turns);
+    const auto loadCount = static_cast<Duration::rep>(loads.size() + 1);
+    return std::max(wait, loadTime_ * loadCount);
 }
 
 auto RequestQueue::reservedPlaces(Moment now) const -> std::size_t
@@ -140,10 +140,10 @@
 
 auto RequestQueue::charge(const QueuedRequest& request) -> void
 {
-    const auto known = std::chrono::duration<double>(expectedRunTime(request)).count();
+    const auto runSeconds = std::chrono::duration<double>(expectedRunTime(request)).count();
     auto& served = served_[request.member];
     servedFloor_ = std::max(servedFloor_, served);
-    served += known > 0 ? known : 1;
+    served += runSeconds > 0 ? runSeconds : 1;
     // Forgets members at or below the floor, so that the map does not outgrow the queue.
     constexpr auto maxMembers = std::size_t(1024);
     if (served_.size() > maxMembers)
--- a/packages/decisions/SharedReading.h
+++ b/packages/decisions/SharedReading.h
@@ -53,9 +53,9 @@
     /// Delay before a failed call to the store is retried; longer for a follower, which also learns from the reader.
     [[nodiscard]] static constexpr auto retryInterval(Role role) noexcept -> Duration
     {
-        constexpr auto usual = Duration(500ms);
-        constexpr auto followers = Duration(2s);
-        return role == Role::Follower ? followers : usual;
+        constexpr auto defaultInterval = Duration(500ms);
+        constexpr auto followerInterval = Duration(2s);
+        return role == Role::Follower ? followerInterval : defaultInterval;
     }
     /// How often a follower that the store refuses checks whether it is served again.
     static constexpr auto probeInterval = Duration(5s);
