--- a/packages/decisions/ExpiryGrace.h
+++ b/packages/decisions/ExpiryGrace.h
@@ -59,8 +59,8 @@
     }
 
 private:
-    // Registrations that expired during an outage of the store are renewed within two seconds of its return, by the
-    // users' figures.
+    // Registrations that expired during an outage of the store are renewed within two seconds of its return, according
+    // to the deployment's operators.
     static constexpr auto gracePeriod = Duration(2000ms);
     // How long another entry's reading proves that the store serves other entries. Peers are polled once a second
     // during an outage of the store, and a silent peer is detected within 1.5 s more.
--- a/packages/decisions/LoadConcurrency.h
+++ b/packages/decisions/LoadConcurrency.h
@@ -38,7 +38,7 @@
 private:
     // The number of loads that an engine accepts at a time.
     static constexpr auto maxLimit = std::size_t(4);
-    // Duration above which the store is considered congested; a single load takes 250 to 300 ms by the users' figures.
+    // Longer loads indicate a congested store; the deployment's operators report 250 to 300 ms for a single load.
     static constexpr auto congestedDuration = Duration(450ms);
 
     std::size_t limit_ = 1;
--- a/packages/decisions/ReplicaChoice.h
+++ b/packages/decisions/ReplicaChoice.h
@@ -12,7 +12,7 @@
 
 namespace eelgrass::decisions {
 
-/// What an entry knows about one replica; may be outdated by `age`.
+/// An entry's information about one replica; may be outdated by `age`.
 struct ReplicaView {
     std::string_view id;
     AvailabilityZone zone;
--- a/packages/serving/ReplicaDirectory.h
+++ b/packages/serving/ReplicaDirectory.h
@@ -39,7 +39,7 @@
         /// See `EntryNotice`.
         double readerWeight = 0;
     };
-    /// What determines the candidate replicas for a request.
+    /// Properties of a request that determine its candidate replicas.
     struct CandidateQuery {
         const ServiceName& service;
         const AdapterName& adapter;
--- a/packages/serving/Settings.h
+++ b/packages/serving/Settings.h
@@ -54,8 +54,8 @@
     double processorShare = 1;
     /// How long a planned stop may take.
     milliseconds grace { 8000 };
-    /// The cost of sending a request to a replica in another zone, expressed as time: for the round trip, and per KiB
-    /// of the body. The users value the traffic charge for one KiB between zones at about four milliseconds of waiting.
+    /// Cost of a request to a replica in another zone, as time: for the round trip, and per KiB of body. The traffic
+    /// charge per KiB between zones is worth about four milliseconds of waiting to the deployment's operators.
     milliseconds zonePenalty { 5 };
     milliseconds zonePenaltyPerKiB { 4 };
 };
--- a/packages/serving/Types.h
+++ b/packages/serving/Types.h
@@ -177,7 +177,7 @@
     Tokens tokens = 0;
 };
 
-/// What a client states about its request in its headers.
+/// Metadata of a request, as stated by the client in the request headers.
 struct RequestMetadata {
     AttemptId attempt;
     /// How long the client will wait, counted from when it sent the request.
--- a/tests/integration/ServingStarts.cpp
+++ b/tests/integration/ServingStarts.cpp
@@ -62,7 +62,7 @@
     world.startGateway();
     BOOST_TEST(world.ask({ .attempt = "one", .adapter = "a1" }).status == 200);
     BOOST_TEST(world.ask({ .attempt = "two", .adapter = "a2" }).status == 200);
-    // Both slots are in use, so the next order, with condition 2, unloads one of them.
+    // Both slots are in use, so the next order unloads an adapter. Its precondition: the replica has accepted 2 orders.
     world.engine(0).behave({ .loseOrders = true });
     const auto lost = world.engine(0).orders().size();
     auto third = world.begin({ .attempt = "three", .adapter = "a3", .deadlineMs = 500 });
